--- a/commands/burn.go
+++ b/commands/burn.go
@@ -72,8 +72,8 @@
 		for _, r := range s.Rates {
 			fmt.Fprintf(&out, "  last %-4s %7d jobs   complete budget burns at %6.2f   fast budget at %6.2f\n", r.Window, r.Jobs, r.Complete, r.Fast)
 		}
-		for _, x := range s.Culprits {
-			fmt.Fprintf(&out, "  %s %s: %d bad jobs in the last hour, %.0f%% of all\n", x.Part, x.Name, x.Bad, 100*x.Share)
+		for _, x := range s.Contributors {
+			fmt.Fprintf(&out, "  %s %s: %d bad jobs in the last hour, %.0f%% of all\n", x.Kind, x.Name, x.Bad, 100*x.Share)
 		}
 	}
 	_, err := c.Root().Writer.Write(out.Bytes())
--- a/commands/config/objects.go
+++ b/commands/config/objects.go
@@ -112,7 +112,7 @@
 		q.Set("kind", c.Args().Get(0))
 		q.Set("name", c.Args().Get(1))
 	}
-	var trail operator.Trail
+	var trail operator.AuditTrail
 	if _, err := port.Do(ctx, c, port.Call{Method: http.MethodGet, Path: "/v1/audit?" + q.Encode()}, &trail); err != nil {
 		return cli.Exit(err.Error(), exit.Failed)
 	}
--- a/commands/standin.go
+++ b/commands/standin.go
@@ -53,7 +53,7 @@
 		}
 		go followRoutes(ctx, store, file, log)
 	}
-	return serveStandin(ctx, web.New("the store", set.Standin.Listen, store.Handler(), web.Small), log)
+	return serveStandin(ctx, web.New("the store", set.Standin.Listen, store.Handler(), web.Internal), log)
 }
 
 // putRoutes writes the configuration into the store, unless it is what was written last.
@@ -96,7 +96,7 @@
 		CPU: int64(set.Upstream.Cores) * 1000, MemMB: standinMemory, Beat: set.Upstream.Beat,
 	})
 	defer u.Close()
-	return serveStandin(ctx, web.New("the upstream", set.Upstream.Listen, u.Handler(), web.Small), log)
+	return serveStandin(ctx, web.New("the upstream", set.Upstream.Listen, u.Handler(), web.Internal), log)
 }
 
 // standinMemory is the memory that a stand-in for an upstream claims to have, in MB.
--- a/internal/agent/call/call.go
+++ b/internal/agent/call/call.go
@@ -37,7 +37,7 @@
 	Spec       string
 	Checkpoint string
 	// Until is the lease that the start extends to.
-	Until Clock
+	LeaseUntil Clock
 }
 
 // Stop stops one run, or makes sure that it never starts.
@@ -51,13 +51,13 @@
 type Hold struct {
 	Header
 	// Until is the lease; zero leaves it as it is.
-	Until Clock
+	LeaseUntil Clock
 	// Seen acknowledges ends up to this number.
 	Seen uint64
 	// Wait is how long the upstream may hold the answer back until a run ends.
 	Wait time.Duration
 	// Look: the call waits shortly or not at all, and another that does may be under way.
-	Look bool
+	Poll bool
 }
 
 // Answer says what a call brought.
@@ -84,7 +84,7 @@
 )
 
 // Listed is a run that the upstream lists as running.
-type Listed struct {
+type Running struct {
 	Task       job.TaskID
 	Run        job.Run
 	Checkpoint string
@@ -95,30 +95,30 @@
 // Finished is an end that the upstream lists.
 type Finished struct {
 	// N rises from 1 in each life of the upstream.
-	N          uint64
+	Number     uint64
 	Task       job.TaskID
 	Run        job.Run
-	How        How
+	Result     Result
 	Checkpoint string
 }
 
 // How says how a run ended at the upstream.
-type How string
+type Result string
 
 // The ends that occur.
 const (
-	HowDone    How = "done"
-	HowFailed  How = "failed"
-	HowStopped How = "stopped"
-	HowLapsed  How = "lapsed"
+	ResultDone    Result = "done"
+	ResultFailed  Result = "failed"
+	ResultStopped Result = "stopped"
+	ResultLapsed  Result = "lapsed"
 )
 
 // Held is the result of a Hold.
-type Held struct {
+type HoldResult struct {
 	Answer Answer
 	Clock  Clock
 	// Born is when the life began that has answered; zero is not told.
 	Born     ident.Born
-	Running  []Listed
+	Running  []Running
 	Finished []Finished
 }
--- a/internal/agent/condition/condition.go
+++ b/internal/agent/condition/condition.go
@@ -8,17 +8,17 @@
 // Facts are what an agent knows of its upstream.
 type Facts struct {
 	// AgentLeaves: the agent is about to end.
-	AgentLeaves bool
+	AgentLeaving bool
 	// Draining: the upstream has said that it leaves; Ended: that it has ended.
-	Draining, Ended bool
+	Draining, SaidEnded bool
 	// Described: a life of the upstream is known, with its room. RoomHeard: this life of the agent has heard of the room.
-	Described, RoomHeard bool
+	Described, RoomReported bool
 	// Listed: the upstream has listed what runs there.
 	Listed bool
 	// EarlierLease: a lease that an earlier life of the agent has extended may not be over.
 	EarlierLease bool
 	// Silent: several calls got no answer. Overdue: one is so late that another life may have begun.
-	Silent, Overdue bool
+	Silent, AnswerOverdue bool
 	// UnknownRuns: runs that the agent does not know are there. StopUnconfirmed: a run that nobody wants may still go on.
 	UnknownRuns, StopUnconfirmed bool
 	// CordonsUnknown: the agent has not heard which zones are cordoned. Cordoned: its own is.
@@ -30,17 +30,17 @@
 }
 
 // Of returns the state for all entries, and what decided it.
-func Of(f Facts) (state fleet.State, why string) {
+func Evaluate(f Facts) (state fleet.State, why string) {
 	switch {
-	case f.AgentLeaves:
+	case f.AgentLeaving:
 		return fleet.Leaving, "agent_leaving"
 	case f.Draining:
 		return fleet.Leaving, "draining"
-	case f.Ended:
+	case f.SaidEnded:
 		return fleet.Leaving, "said_it_ended"
 	case !f.Described:
 		return fleet.Clearing, "no_heartbeat"
-	case !f.RoomHeard:
+	case !f.RoomReported:
 		return fleet.Clearing, "room_not_heard"
 	case !f.Listed:
 		return fleet.Clearing, "not_listed_yet"
@@ -48,7 +48,7 @@
 		return fleet.Clearing, "earlier_lease"
 	case f.Silent:
 		return fleet.Unreachable, "no_answer"
-	case f.Overdue:
+	case f.AnswerOverdue:
 		return fleet.Unreachable, "answer_overdue"
 	case f.UnknownRuns:
 		return fleet.Clearing, "unknown_runs"
--- a/internal/agent/ends/ends.go
+++ b/internal/agent/ends/ends.go
@@ -21,14 +21,14 @@
 const (
 	// crowded is from how many remembered ends on the oldest withheld ones are made void: four fifths of the limit, which
 	// leaves two seconds of a busy upstream's ends for the lease to lapse.
-	crowded = 400
+	voidThreshold = 400
 	// crowdedAge is how old an end must be for that: while the store answers, ends are stored sooner.
-	crowdedAge = 3 * time.Second
+	voidMinAge = 3 * time.Second
 )
 
 // tellEvery is the pause after which an end that nobody has noted is told again: ends are stored within 0.5 s unless the
 // store is away.
-const tellEvery = 2 * time.Second
+const resendInterval = 2 * time.Second
 
 // Withheld is an end that the upstream must not forget yet.
 type Withheld struct {
@@ -38,27 +38,27 @@
 	number uint64
 	since  time.Time
 	// toldAt is when the end was told last, tellings how often it was told again.
-	toldAt   time.Time
-	tellings int
+	sentAt  time.Time
+	resends int
 	// void: the task has been placed again, so the end must count for nothing: the lease has to lapse before the
 	// upstream may forget it.
 	void bool
 }
 
 // Account is that of one life of an upstream.
-type Account struct {
+type Tracker struct {
 	// taken is the highest number of an end that was taken in.
-	taken uint64
+	lastRecorded uint64
 	// withheld are in the order of their numbers.
 	withheld []*Withheld
 }
 
 // Take notes a listed end, and tells whether it is new.
-func (a *Account) Take(f call.Finished) bool {
-	if f.N <= a.taken {
+func (a *Tracker) Record(f call.Finished) bool {
+	if f.Number <= a.lastRecorded {
 		return false
 	}
-	a.taken = f.N
+	a.lastRecorded = f.Number
 	return true
 }
 
@@ -66,43 +66,43 @@
 func (w *Withheld) Void() { w.void = true }
 
 // Withhold keeps the end that was taken last from being forgotten.
-func (a *Account) Withhold(now time.Time, owner ident.Incarnation, e fleet.End) *Withheld {
-	w := &Withheld{End: e, Owner: owner, number: a.taken, since: now, toldAt: now}
+func (a *Tracker) Withhold(now time.Time, owner ident.Incarnation, e fleet.End) *Withheld {
+	w := &Withheld{End: e, Owner: owner, number: a.lastRecorded, since: now, sentAt: now}
 	a.withheld = append(a.withheld, w)
 	return w
 }
 
 // Seen is the number up to which the upstream may forget ends.
-func (a *Account) Seen() uint64 {
+func (a *Tracker) AckedUpTo() uint64 {
 	if len(a.withheld) > 0 {
 		return a.withheld[0].number - 1
 	}
-	return a.taken
+	return a.lastRecorded
 }
 
 // Len returns how many ends are withheld.
-func (a *Account) Len() int { return len(a.withheld) }
+func (a *Tracker) Len() int { return len(a.withheld) }
 
 // remembered is how many ends the upstream remembers, or will once it has listed them.
-func (a *Account) remembered() int { return int(a.taken - a.Seen()) }
+func (a *Tracker) remembered() int { return int(a.lastRecorded - a.AckedUpTo()) }
 
 // Full tells whether the ends of runs that are under way might not be listed any more.
-func (a *Account) Full(runs int) bool { return a.remembered()+runs >= ListLimit }
+func (a *Tracker) Full(runs int) bool { return a.remembered()+runs >= ListLimit }
 
 // Relieve makes old withheld ends void when the upstream remembers too many.
-func (a *Account) Relieve(now time.Time) {
-	if a.remembered() < crowded {
+func (a *Tracker) VoidOld(now time.Time) {
+	if a.remembered() < voidThreshold {
 		return
 	}
 	for _, w := range a.withheld {
-		if now.Sub(w.since) > crowdedAge {
+		if now.Sub(w.since) > voidMinAge {
 			w.Void()
 		}
 	}
 }
 
 // Note lets ends be forgotten that are stored, or marks them void.
-func (a *Account) Note(runs []fleet.RunRef, void bool) {
+func (a *Tracker) Resolve(runs []fleet.RunRef, void bool) {
 	for _, r := range runs {
 		i := slices.IndexFunc(a.withheld, func(w *Withheld) bool { return w.End.Task == r.Task && w.End.Run == r.Run })
 		switch {
@@ -116,12 +116,12 @@
 }
 
 // Of lists what is withheld of an entry.
-func (a *Account) Of(owner ident.Incarnation) []*Withheld {
+func (a *Tracker) ListOwnedBy(owner ident.Incarnation) []*Withheld {
 	return a.filter(func(w *Withheld) bool { return w.Owner == owner && !w.void })
 }
 
 // Claim gives the withheld ends of some jobs to the entry that has taken them over, and lists them.
-func (a *Account) Claim(jobs map[job.ID]bool, by ident.Incarnation) []*Withheld {
+func (a *Tracker) Reassign(jobs map[job.ID]bool, by ident.Incarnation) []*Withheld {
 	claimed := a.filter(func(w *Withheld) bool { return jobs[w.End.Task.Job] && !w.void })
 	for _, w := range claimed {
 		w.Owner = by
@@ -130,7 +130,7 @@
 }
 
 // Find returns a withheld end of a task that ended well, or nil.
-func (a *Account) Find(t job.TaskID) *Withheld {
+func (a *Tracker) FindDone(t job.TaskID) *Withheld {
 	for _, w := range a.withheld {
 		if w.End.Task == t && w.End.Outcome == job.Done && !w.void {
 			return w
@@ -141,32 +141,32 @@
 
 // Again lists the ends that are to be told again now, each with the entry that is to hear of it: not always the one that
 // the run was for, since that may not have the job any more.
-func (a *Account) Again(now time.Time, entries []ident.Incarnation) (out []*Withheld, to []ident.Incarnation) {
+func (a *Tracker) DueForResend(now time.Time, entries []ident.Incarnation) (out []*Withheld, to []ident.Incarnation) {
 	if len(entries) == 0 {
 		return nil, nil
 	}
 	for _, w := range a.withheld {
-		if w.void || now.Sub(w.toldAt) < tellEvery {
+		if w.void || now.Sub(w.sentAt) < resendInterval {
 			continue
 		}
-		out, to = append(out, w), append(to, entries[w.tellings%len(entries)])
-		w.toldAt = now
-		w.tellings++
+		out, to = append(out, w), append(to, entries[w.resends%len(entries)])
+		w.sentAt = now
+		w.resends++
 	}
 	return out, to
 }
 
 // AnyVoid tells whether an end waits for the lease to lapse.
-func (a *Account) AnyVoid() bool {
+func (a *Tracker) HasVoid() bool {
 	return slices.ContainsFunc(a.withheld, func(w *Withheld) bool { return w.void })
 }
 
 // Lapsed lets void ends be forgotten: the lease has lapsed since they were listed.
-func (a *Account) Lapsed() {
+func (a *Tracker) DropVoid() {
 	a.withheld = slices.DeleteFunc(a.withheld, func(w *Withheld) bool { return w.void })
 }
 
-func (a *Account) filter(f func(*Withheld) bool) []*Withheld {
+func (a *Tracker) filter(f func(*Withheld) bool) []*Withheld {
 	var out []*Withheld
 	for _, w := range a.withheld {
 		if f(w) {
--- a/internal/agent/lives/lives.go
+++ b/internal/agent/lives/lives.go
@@ -17,7 +17,7 @@
 )
 
 // Beat is a heartbeat of the upstream.
-type Beat struct {
+type Heartbeat struct {
 	fleet.Upstream
 	// Born tells lives under one id apart.
 	Born ident.Born
@@ -28,17 +28,17 @@
 	// Draining: it takes no more work and ends soon.
 	Draining bool
 	// Cold is how much longer it is slow from its start.
-	Cold time.Duration
+	ColdFor time.Duration
 	// Recalled: no heartbeat has come; it is what an earlier process of the agent has remembered.
 	Recalled bool
 }
 
 // Life is whose heartbeat it is.
-func (b *Beat) Life() ident.UpstreamLife { return ident.UpstreamLife{ID: b.ID, Born: b.Born} }
+func (b *Heartbeat) Life() ident.UpstreamLife { return ident.UpstreamLife{ID: b.ID, Born: b.Born} }
 
 // Known is what the agent's next process should know of the upstream: its VM keeps nothing, and the upstream does not repeat at once
 // what it was told is heard.
-type Known struct {
+type Snapshot struct {
 	fleet.Upstream
 	Born ident.Born
 	// Draining: the upstream has said that it leaves.
@@ -48,106 +48,106 @@
 }
 
 // Life is the life that is known.
-func (k *Known) Life() ident.UpstreamLife { return ident.UpstreamLife{ID: k.ID, Born: k.Born} }
+func (k *Snapshot) Life() ident.UpstreamLife { return ident.UpstreamLife{ID: k.ID, Born: k.Born} }
 
 // Beat is what is known, as if a heartbeat had told it before all others.
-func (k *Known) Beat() Beat {
-	return Beat{Upstream: k.Upstream, Born: k.Born, Draining: k.Draining, Recalled: true}
+func (k *Snapshot) Heartbeat() Heartbeat {
+	return Heartbeat{Upstream: k.Upstream, Born: k.Born, Draining: k.Draining, Recalled: true}
 }
 
 // Claim is the newest heartbeat of a life other than the present one.
 type Claim struct {
-	Beat Beat
+	Heartbeat Heartbeat
 	// lease has the token that the question carries.
 	lease lease.Lease
 	// asking is true while the question is under way, asked when it was put.
-	asking bool
-	asked  time.Time
+	querying  bool
+	queriedAt time.Time
 	// since is when it was claimed first.
-	since time.Time
+	claimedAt time.Time
 }
 
 // Ask returns the token of a question that is to be put now; false is that one is under way.
-func (c *Claim) Ask(now time.Time) (call.Token, bool) {
-	if c.asking {
+func (c *Claim) BeginQuery(now time.Time) (call.Token, bool) {
+	if c.querying {
 		return 0, false
 	}
-	c.asking, c.asked = true, now
+	c.querying, c.queriedAt = true, now
 	return c.lease.Token(), true
 }
 
 // Answered notes that the question is not under way any more.
-func (c *Claim) Answered() { c.asking = false }
+func (c *Claim) EndQuery() { c.querying = false }
 
 // Outbid raises the token of the next question above one that was refused.
-func (c *Claim) Outbid(now time.Time, refused call.Token) { c.lease.Outbid(now, refused) }
+func (c *Claim) RaiseToken(now time.Time, refused call.Token) { c.lease.RaiseTokenAbove(now, refused) }
 
 // An upstream that flaps for weeks has a new life each second. What is forgotten costs a question: a late heartbeat of a forgotten life
 // is a claim again, and a claimed life that is present sends another heartbeat.
 const (
 	// maxPast bounds the lives that are remembered as ended: an hour of lives of 14 s, in some 40 kB.
-	maxPast = 256
+	maxEnded = 256
 	// maxClaims bounds the lives that may be present. Each is asked for up to four times a second while the upstream gives no answer.
 	maxClaims = 8
 )
 
 // Account is that of one agent.
-type Account struct {
+type Tracker struct {
 	// past holds lives that have ended, whose late heartbeats mean nothing; ended lists them from the oldest on, maxPast at most.
-	past  map[ident.UpstreamLife]bool
-	ended []ident.UpstreamLife
+	isEnded map[ident.UpstreamLife]bool
+	ended   []ident.UpstreamLife
 	// claims are lives that may be present, until the upstream has said whether it is one of them; maxClaims at most.
 	claims map[ident.UpstreamLife]*Claim
 }
 
 // New returns an account of no life.
-func New() *Account {
-	return &Account{past: make(map[ident.UpstreamLife]bool), claims: make(map[ident.UpstreamLife]*Claim)}
+func New() *Tracker {
+	return &Tracker{isEnded: make(map[ident.UpstreamLife]bool), claims: make(map[ident.UpstreamLife]*Claim)}
 }
 
 // Past tells whether a life has ended.
-func (a *Account) Past(life ident.UpstreamLife) bool { return a.past[life] }
+func (a *Tracker) HasEnded(life ident.UpstreamLife) bool { return a.isEnded[life] }
 
 // End notes that a life has ended.
-func (a *Account) End(life ident.UpstreamLife) {
+func (a *Tracker) RecordEnded(life ident.UpstreamLife) {
 	delete(a.claims, life)
-	if a.past[life] {
+	if a.isEnded[life] {
 		return
 	}
-	a.past[life] = true
+	a.isEnded[life] = true
 	a.ended = append(a.ended, life)
-	if len(a.ended) > maxPast {
-		delete(a.past, a.ended[0])
+	if len(a.ended) > maxEnded {
+		delete(a.isEnded, a.ended[0])
 		a.ended = slices.Delete(a.ended, 0, 1)
 	}
 }
 
 // Begin notes that a life is the present one.
-func (a *Account) Begin(life ident.UpstreamLife) {
-	delete(a.past, life)
+func (a *Tracker) RecordPresent(life ident.UpstreamLife) {
+	delete(a.isEnded, life)
 	a.ended = slices.DeleteFunc(a.ended, func(have ident.UpstreamLife) bool { return have == life })
 	delete(a.claims, life)
 }
 
 // Claim takes in a heartbeat of a life other than the present one.
-func (a *Account) Claim(now time.Time, b Beat) *Claim {
+func (a *Tracker) Claim(now time.Time, b Heartbeat) *Claim {
 	c := a.claims[b.Life()]
 	if c == nil {
-		c = &Claim{lease: lease.New(0, now), since: now}
+		c = &Claim{lease: lease.New(0, now), claimedAt: now}
 		a.claims[b.Life()] = c
-		a.dropClaim(c)
+		a.dropOldestClaim(c)
 	}
 	// That a life leaves holds in whatever order its heartbeats arrive.
-	draining := c.Beat.Draining || b.Draining
-	if b.Sequence >= c.Beat.Sequence {
-		c.Beat = b
+	draining := c.Heartbeat.Draining || b.Draining
+	if b.Sequence >= c.Heartbeat.Sequence {
+		c.Heartbeat = b
 	}
-	c.Beat.Draining = draining
+	c.Heartbeat.Draining = draining
 	return c
 }
 
 // dropClaim forgets the oldest claim but a new one, if there are too many.
-func (a *Account) dropClaim(but *Claim) {
+func (a *Tracker) dropOldestClaim(but *Claim) {
 	if len(a.claims) <= maxClaims {
 		return
 	}
@@ -157,28 +157,28 @@
 			oldest = c
 		}
 	}
-	delete(a.claims, oldest.Beat.Life())
+	delete(a.claims, oldest.Heartbeat.Life())
 }
 
 // before orders claims by when they were made, and those of one moment by life, so that runs repeat.
 func (c *Claim) before(other *Claim) bool {
-	return cmp.Or(c.since.Compare(other.since), cmp.Compare(c.Beat.ID, other.Beat.ID), cmp.Compare(c.Beat.Born, other.Beat.Born)) < 0
+	return cmp.Or(c.claimedAt.Compare(other.claimedAt), cmp.Compare(c.Heartbeat.ID, other.Heartbeat.ID), cmp.Compare(c.Heartbeat.Born, other.Heartbeat.Born)) < 0
 }
 
 // Claimed returns what is claimed of a life, or nil.
-func (a *Account) Claimed(life ident.UpstreamLife) *Claim { return a.claims[life] }
+func (a *Tracker) FindClaim(life ident.UpstreamLife) *Claim { return a.claims[life] }
 
 // Due lists the claims whose questions were put a pause ago or earlier, in a fixed order. pause tells how long that is for a claim that
 // has gone unanswered for a time.
-func (a *Account) Due(now time.Time, pause func(unanswered time.Duration) time.Duration) []*Claim {
+func (a *Tracker) DueClaims(now time.Time, pause func(unanswered time.Duration) time.Duration) []*Claim {
 	var out []*Claim
 	for _, c := range a.claims {
-		if now.Sub(c.asked) >= pause(now.Sub(c.since)) {
+		if now.Sub(c.queriedAt) >= pause(now.Sub(c.claimedAt)) {
 			out = append(out, c)
 		}
 	}
 	slices.SortFunc(out, func(x, y *Claim) int {
-		return cmp.Or(cmp.Compare(x.Beat.ID, y.Beat.ID), cmp.Compare(x.Beat.Born, y.Beat.Born))
+		return cmp.Or(cmp.Compare(x.Heartbeat.ID, y.Heartbeat.ID), cmp.Compare(x.Heartbeat.Born, y.Heartbeat.Born))
 	})
 	return out
 }
--- a/internal/agent/node/calls.go
+++ b/internal/agent/node/calls.go
@@ -14,13 +14,13 @@
 type Upstream interface {
 	Start(ctx context.Context, c call.Start) (call.Answer, call.Clock, error)
 	Stop(ctx context.Context, c call.Stop) (call.Answer, call.Clock, error)
-	Hold(ctx context.Context, c call.Hold) (call.Held, error)
+	Hold(ctx context.Context, c call.Hold) (call.HoldResult, error)
 }
 
 const (
 	// leastPatience bounds from below how long an order is waited for. A start usually takes a millisecond; to take a slow
 	// answer for a lost one costs two calls and does no harm.
-	leastPatience = 25 * time.Millisecond
+	minPatience = 25 * time.Millisecond
 	// patienceFactor times the usual time of an order is how long one is waited for.
 	patienceFactor = 20
 )
@@ -29,7 +29,7 @@
 type caller Node
 
 // order makes one order with the patience of the moment, and posts its end.
-func (c *caller) order(what string, fields logrus.Fields, do func(ctx context.Context) (call.Answer, call.Clock, error), done func(call.Answer, call.Clock) any) {
+func (c *caller) callWithTimeout(what string, fields logrus.Fields, do func(ctx context.Context) (call.Answer, call.Clock, error), done func(call.Answer, call.Clock) any) {
 	limit := c.patience.Limit()
 	go func() {
 		ctx, cancel := context.WithTimeout(c.ctx, limit)
@@ -46,14 +46,14 @@
 
 // Start starts a run.
 func (c *caller) Start(o call.Start) {
-	c.order("start_unanswered", logrus.Fields{"job": o.Task.Job, "task": o.Task, "run": o.Run},
+	c.callWithTimeout("start_unanswered", logrus.Fields{"job": o.Task.Job, "task": o.Task, "run": o.Run},
 		func(ctx context.Context) (call.Answer, call.Clock, error) { return c.upstream.Start(ctx, o) },
 		func(a call.Answer, clock call.Clock) any { return startDone{o, a, clock} })
 }
 
 // Stop stops a run.
 func (c *caller) Stop(o call.Stop) {
-	c.order("stop_unanswered", logrus.Fields{"job": o.Task.Job, "task": o.Task, "run": o.Run},
+	c.callWithTimeout("stop_unanswered", logrus.Fields{"job": o.Task.Job, "task": o.Task, "run": o.Run},
 		func(ctx context.Context) (call.Answer, call.Clock, error) { return c.upstream.Stop(ctx, o) },
 		func(a call.Answer, clock call.Clock) any { return stopDone{o, a, clock} })
 }
--- a/internal/agent/node/config.go
+++ b/internal/agent/node/config.go
@@ -20,7 +20,7 @@
 )
 
 // relayed is the newest configuration that an entry has sent, to be passed on.
-type relayed struct {
+type relayedConfig struct {
 	config *wire.Config
 	// from is when entries that have an older one get it.
 	from time.Time
@@ -30,12 +30,12 @@
 func (n *Node) handleConfig(now time.Time, from *link, c *wire.Config) {
 	from.Config = max(from.Config, ident.ConfigVersion(c.GetVersion()))
 	if c.GetVersion() > n.relay.config.GetVersion() {
-		n.relay = relayed{c, now.Add(relayAfter + rand.N(relayWithin))}
+		n.relay = relayedConfig{c, now.Add(relayAfter + rand.N(relayWithin))}
 	}
 }
 
 // passConfig sends an entry the configuration if it has had the time to read it, and has an older one.
-func (n *Node) passConfig(now time.Time, l *link) {
+func (n *Node) relayConfig(now time.Time, l *link) {
 	version := ident.ConfigVersion(n.relay.config.GetVersion())
 	if l.Config >= version || now.Before(n.relay.from) {
 		return
--- a/internal/agent/node/config_test.go
+++ b/internal/agent/node/config_test.go
@@ -21,7 +21,7 @@
 )
 
 // entry is the other end of an agent's link: it tells which configuration it has, and counts those that it gets.
-type entry struct {
+type fakeEntry struct {
 	ln     net.Listener
 	linked chan *session.Session
 
@@ -32,12 +32,12 @@
 }
 
 // listen starts an entry of a number; all have the same port.
-func listen(t *testing.T, number int, port string) *entry {
+func listen(t *testing.T, number int, port string) *fakeEntry {
 	host := fmt.Sprintf("127.0.0.%d", number)
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, port))
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { ln.Close() })
-	e := &entry{ln: ln, linked: make(chan *session.Session, 10), alive: fleet.KeepAlive{Config: 1, Follows: true}}
+	e := &fakeEntry{ln: ln, linked: make(chan *session.Session, 10), alive: fleet.KeepAlive{Config: 1, Follows: true}}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -51,7 +51,7 @@
 }
 
 // serve takes one link of the agent.
-func (e *entry) serve(conn net.Conn, number int) {
+func (e *fakeEntry) serve(conn net.Conn, number int) {
 	s, err := session.Accept(conn, &wire.Hello{Role: "entry", Name: conn.LocalAddr().String(), Incarnation: uint64(number), ConfigVersion: 1})
 	if err != nil {
 		return
@@ -67,7 +67,7 @@
 }
 
 // awaitLink returns the next link of the agent.
-func (e *entry) awaitLink(t *testing.T) *session.Session {
+func (e *fakeEntry) awaitLink(t *testing.T) *session.Session {
 	select {
 	case s := <-e.linked:
 		return s
@@ -77,21 +77,21 @@
 	}
 }
 
-func (e *entry) set(change func()) {
+func (e *fakeEntry) set(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
 }
 
 // count returns how many configurations it got.
-func (e *entry) count() int {
+func (e *fakeEntry) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.got
 }
 
 // keepAlive tells what the entry has, every 20 ms until the test ends.
-func (e *entry) keepAlive(t *testing.T, s *session.Session) {
+func (e *fakeEntry) keepAlive(t *testing.T, s *session.Session) {
 	for t.Context().Err() == nil {
 		e.mu.Lock()
 		alive := e.alive
@@ -109,7 +109,7 @@
 			first := listen(t, 1, "0")
 			_, port, err := net.SplitHostPort(first.ln.Addr().String())
 			qt.Assert(t, err, qt.IsNil)
-			all := []*entry{first}
+			all := []*fakeEntry{first}
 			set, err := settings.Load("")
 			qt.Assert(t, err, qt.IsNil)
 			set.Node.Link, set.Node.Seeds = settings.Address(first.ln.Addr().String()), []string{first.ln.Addr().String()}
@@ -118,7 +118,7 @@
 				all = append(all, e)
 				set.Node.Seeds = append(set.Node.Seeds, e.ln.Addr().String())
 			}
-			a := node.New(set, nil, nothing{}, session.TCP, logs.Discard())
+			a := node.New(set, nil, emptyMemory{}, session.TCP, logs.Discard())
 			qt.Assert(t, a.Start(context.Background()), qt.IsNil)
 			defer a.Stop()
 			var sessions []*session.Session
@@ -142,7 +142,7 @@
 				qt.Assert(t, e.count(), qt.Equals, 0)
 			}
 			qt.Assert(t, cutOff.count(), qt.Equals, 1)
-			qt.Assert(t, a.Following(), qt.Equals, n-1)
+			qt.Assert(t, a.FollowingEntries(), qt.Equals, n-1)
 		})
 	}
 }
@@ -156,10 +156,10 @@
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
 	set.Node.Link, set.Node.Seeds = settings.Address(first.ln.Addr().String()), []string{first.ln.Addr().String()}
-	a := node.New(set, nil, nothing{}, session.TCP, logs.Discard())
+	a := node.New(set, nil, emptyMemory{}, session.TCP, logs.Discard())
 	qt.Assert(t, a.Start(context.Background()), qt.IsNil)
 	defer a.Stop()
-	tell := func(e *entry, all ...*entry) *session.Session {
+	tell := func(e *fakeEntry, all ...*fakeEntry) *session.Session {
 		s := e.awaitLink(t)
 		go e.keepAlive(t, s)
 		var out []fleet.Entry
--- a/internal/agent/node/cordons.go
+++ b/internal/agent/node/cordons.go
@@ -21,8 +21,8 @@
 	n.log.WithFields(logrus.Fields{
 		"of": s.Source, "version": s.Version, "zones": s.Zones, "source": source, "zone": state,
 	}).Info("cordons_adopted")
-	n.keeper.SetZone(state)
-	n.links.TellCordons(n.cordons.All())
+	n.manager.SetZone(state)
+	n.links.TellCordons(n.cordons.Snapshots())
 }
 
 // zoneState is what is known of the VM's own zone. What one source says is enough to start nothing, and takes all sources to say
@@ -31,7 +31,7 @@
 	switch {
 	case n.cordons.Cordoned(ident.Zone(n.set.Node.Zone)):
 		return upstream.ZoneCordoned
-	case n.cordons.Known():
+	case n.cordons.Complete():
 		return upstream.ZoneOpen
 	}
 	return upstream.ZoneUnknown
--- a/internal/agent/node/crashes.go
+++ b/internal/agent/node/crashes.go
@@ -15,9 +15,9 @@
 )
 
 // Lost tells all entries of the tasks that the upstream was lost under.
-func (s *sender) Lost(l upstream.Loss) {
+func (s *sender) UpstreamLost(l upstream.Loss) {
 	n := (*Node)(s)
-	n.tellCrashes(nil, n.addCrashes(boottime.Now(), l.Crashes(n.vm())), nil)
+	n.broadcastCrashes(nil, n.addCrashes(boottime.Now(), l.Crashes(n.vm())), nil)
 }
 
 // vm is the name of the agent's VM.
@@ -26,49 +26,49 @@
 // addCrashes takes in crashes, notes which of this VM are to be remembered, and returns what is news.
 func (n *Node) addCrashes(now time.Time, all []fleet.Crash) []fleet.Crash {
 	news := n.crashes.AddAll(now, all)
-	if slices.ContainsFunc(news, func(c fleet.Crash) bool { return n.crashes.LostOn(c.Task, n.vm()) }) {
-		n.lostHere = n.crashes.On(now, n.vm())
+	if slices.ContainsFunc(news, func(c fleet.Crash) bool { return n.crashes.HasCrashOn(c.Task, n.vm()) }) {
+		n.localCrashes = n.crashes.CrashesOn(now, n.vm())
 	}
 	return news
 }
 
 // Refuted tells all entries that a life has answered which was taken for lost.
-func (s *sender) Refuted(r fleet.Refutation) {
+func (s *sender) LossRefuted(r fleet.Refutation) {
 	n := (*Node)(s)
 	n.log.WithField("upstream", r.Life).Info("loss_refuted")
 	n.crashes.Refute(r)
-	n.tellCrashes(nil, nil, []fleet.Refutation{r})
+	n.broadcastCrashes(nil, nil, []fleet.Refutation{r})
 }
 
 // recallCrashes takes in and tells what an earlier life has remembered of crashes: where all processes have ended, nobody else knows.
 func (n *Node) recallCrashes(now time.Time, all []fleet.Crash) {
-	lately := slices.DeleteFunc(slices.Clone(all), func(c fleet.Crash) bool { return time.Since(time.UnixMilli(int64(c.Loss))) > crash.KeepFor })
-	n.tellCrashes(nil, n.addCrashes(now, lately), nil)
+	lately := slices.DeleteFunc(slices.Clone(all), func(c fleet.Crash) bool { return time.Since(time.UnixMilli(int64(c.Loss))) > crash.Retention })
+	n.broadcastCrashes(nil, n.addCrashes(now, lately), nil)
 }
 
 // adoptCrashes takes in what an entry has told of crashes, and passes on to the others what is news and concerns tasks that more than one
 // upstream was lost under.
-func (n *Node) adoptCrashes(now time.Time, from *link, crashes []fleet.Crash, refuted []fleet.Refutation) {
+func (n *Node) mergeCrashes(now time.Time, from *link, crashes []fleet.Crash, refuted []fleet.Refutation) {
 	news := n.addCrashes(now, crashes)
 	var spread []fleet.Refutation
 	for _, r := range refuted {
-		repeats := n.crashes.Repeats(r.Life)
+		repeats := n.crashes.IsRepeatLoss(r.Life)
 		if n.crashes.Refute(r) && repeats {
 			spread = append(spread, r)
 		}
 	}
-	n.tellCrashes(from, n.crashes.Spread(news), spread)
+	n.broadcastCrashes(from, n.crashes.SelectRepeated(news), spread)
 }
 
 // tellCrashes tells all entries but one of crashes.
-func (n *Node) tellCrashes(but *link, crashes []fleet.Crash, refuted []fleet.Refutation) {
+func (n *Node) broadcastCrashes(but *link, crashes []fleet.Crash, refuted []fleet.Refutation) {
 	if len(crashes)+len(refuted) > 0 {
 		n.links.Broadcast(codec.Crashes(crashes, refuted), but)
 	}
 }
 
 // greetCrashes tells an entry that has linked of all crashes that are remembered: it may have begun since, or have been out of reach.
-func (n *Node) greetCrashes(now time.Time, l *link) {
+func (n *Node) sendAllCrashes(now time.Time, l *link) {
 	all := n.crashes.All(now)
 	if len(all) == 0 {
 		return
--- a/internal/agent/node/life_test.go
+++ b/internal/agent/node/life_test.go
@@ -22,49 +22,49 @@
 )
 
 // oneLife is an upstream that answers for one life at a time.
-type oneLife struct {
+type oneLifeUpstream struct {
 	mu   sync.Mutex
 	life ident.UpstreamLife
 }
 
-func (u *oneLife) Start(context.Context, call.Start) (call.Answer, call.Clock, error) {
+func (u *oneLifeUpstream) Start(context.Context, call.Start) (call.Answer, call.Clock, error) {
 	return call.OK, 0, nil
 }
 
-func (u *oneLife) Stop(context.Context, call.Stop) (call.Answer, call.Clock, error) {
+func (u *oneLifeUpstream) Stop(context.Context, call.Stop) (call.Answer, call.Clock, error) {
 	return call.OK, 0, nil
 }
 
-func (u *oneLife) Hold(_ context.Context, c call.Hold) (call.Held, error) {
+func (u *oneLifeUpstream) Hold(_ context.Context, c call.Hold) (call.HoldResult, error) {
 	time.Sleep(5*time.Millisecond + c.Wait)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if c.Instance != u.life.ID {
-		return call.Held{Answer: call.WrongInstance}, nil
+		return call.HoldResult{Answer: call.WrongInstance}, nil
 	}
-	return call.Held{Answer: call.OK, Clock: call.Clock(time.Hour), Born: u.life.Born}, nil
+	return call.HoldResult{Answer: call.OK, Clock: call.Clock(time.Hour), Born: u.life.Born}, nil
 }
 
 // begin lets the next life begin.
-func (u *oneLife) begin(life ident.UpstreamLife) {
+func (u *oneLifeUpstream) begin(life ident.UpstreamLife) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.life = life
 }
 
 // notebook keeps what an agent remembers.
-type notebook struct {
+type recordingMemory struct {
 	mu   sync.Mutex
 	last ident.UpstreamLife
 	// total is the room that was remembered last.
 	total job.Resources
 }
 
-func (m *notebook) Recall(context.Context) (lives.Known, bool, error) {
-	return lives.Known{}, false, nil
+func (m *recordingMemory) Load(context.Context) (lives.Snapshot, bool, error) {
+	return lives.Snapshot{}, false, nil
 }
 
-func (m *notebook) Remember(_ context.Context, u lives.Known) error {
+func (m *recordingMemory) Save(_ context.Context, u lives.Snapshot) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.last, m.total = u.Life(), u.Total
@@ -72,13 +72,13 @@
 }
 
 // totalIs tells whether a room was remembered last.
-func (m *notebook) totalIs(r job.Resources) bool {
+func (m *recordingMemory) totalIs(r job.Resources) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.total == r
 }
 
-func (m *notebook) lastIs(id ident.UpstreamLife) bool {
+func (m *recordingMemory) lastIs(id ident.UpstreamLife) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.last == id
@@ -89,13 +89,13 @@
 func TestNextLifeIsRemembered(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
-	u, m := &oneLife{}, &notebook{}
+	u, m := &oneLifeUpstream{}, &recordingMemory{}
 	n := node.New(set, u, m, session.TCP, logs.Discard())
 	qt.Assert(t, n.Start(context.Background()), qt.IsNil)
 	defer n.Stop()
 	for _, life := range []ident.UpstreamLife{{ID: "u-1"}, {ID: "u-2"}, {ID: "u-3", Born: 1}, {ID: "u-3", Born: 2}} {
 		u.begin(life)
-		n.Beat(lives.Beat{Upstream: fleet.Upstream{ID: life.ID, Service: "s"}, Born: life.Born, Sequence: 1, Clock: call.Clock(time.Minute)})
+		n.HandleHeartbeat(lives.Heartbeat{Upstream: fleet.Upstream{ID: life.ID, Service: "s"}, Born: life.Born, Sequence: 1, Clock: call.Clock(time.Minute)})
 		for until := time.Now().Add(5 * time.Second); !m.lastIs(life); time.Sleep(time.Millisecond) {
 			qt.Assert(t, time.Now().Before(until), qt.IsTrue, qt.Commentf("%s is not remembered", life))
 		}
@@ -107,14 +107,14 @@
 func TestRoomIsRemembered(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
-	u, m := &oneLife{}, &notebook{}
+	u, m := &oneLifeUpstream{}, &recordingMemory{}
 	n := node.New(set, u, m, session.TCP, logs.Discard())
 	qt.Assert(t, n.Start(context.Background()), qt.IsNil)
 	defer n.Stop()
 	u.begin(ident.UpstreamLife{ID: "u-1"})
 	for i, cpu := range []int64{16000, 4000, 0, 16000} {
 		total := job.Resources{CPU: cpu, Mem: 64}
-		n.Beat(lives.Beat{Upstream: fleet.Upstream{ID: "u-1", Service: "s", Total: total}, Sequence: uint64(i + 1), Clock: call.Clock(time.Minute)})
+		n.HandleHeartbeat(lives.Heartbeat{Upstream: fleet.Upstream{ID: "u-1", Service: "s", Total: total}, Sequence: uint64(i + 1), Clock: call.Clock(time.Minute)})
 		for until := time.Now().Add(5 * time.Second); !m.totalIs(total); time.Sleep(time.Millisecond) {
 			qt.Assert(t, time.Now().Before(until), qt.IsTrue, qt.Commentf("%v is not remembered", total))
 		}
@@ -125,7 +125,7 @@
 func TestTicksAreMeasured(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
-	n := node.New(set, &oneLife{}, &notebook{}, session.TCP, logs.Discard())
+	n := node.New(set, &oneLifeUpstream{}, &recordingMemory{}, session.TCP, logs.Discard())
 	qt.Assert(t, n.Start(context.Background()), qt.IsNil)
 	defer n.Stop()
 	until := time.Now().Add(5 * time.Second)
--- a/internal/agent/node/links.go
+++ b/internal/agent/node/links.go
@@ -34,19 +34,19 @@
 )
 
 // link is the session with one entry.
-type link = links.Link[keepAlive]
+type link = links.Link[linkState]
 
 // keepAlive is what an entry's keep-alives have said.
-type keepAlive struct {
+type linkState struct {
 	// follows: the entry reads the store's tables that agents need.
 	follows bool
 }
 
 // dialled is an entry's address that is being dialled or linked.
-type dialled struct {
+type dialTarget struct {
 	cancel context.CancelFunc
 	// last is the entry that was linked last by this address; zero is none.
-	last ident.Incarnation
+	lastEntry ident.Incarnation
 	// failing is true while the entry can't be reached.
 	failing bool
 }
@@ -79,23 +79,23 @@
 }
 
 // handleTold takes in which entries a linked one lists. What others have told counts while they are linked, or until somebody else tells.
-func (n *Node) handleTold(by ident.Incarnation, entries []fleet.Entry) {
-	n.told[by] = entries
-	maps.DeleteFunc(n.told, func(other ident.Incarnation, _ []fleet.Entry) bool { return n.links.Get(other) == nil })
+func (n *Node) handlePeers(by ident.Incarnation, entries []fleet.Entry) {
+	n.listedByEntries[by] = entries
+	maps.DeleteFunc(n.listedByEntries, func(other ident.Incarnation, _ []fleet.Entry) bool { return n.links.Get(other) == nil })
 	n.chooseEntries()
 }
 
 // allListed is what all sources list; an entry may come several times.
 func (n *Node) allListed() []fleet.Entry {
 	all := slices.Concat(slices.Collect(maps.Values(n.listed))...)
-	return append(all, slices.Concat(slices.Collect(maps.Values(n.told))...)...)
+	return append(all, slices.Concat(slices.Collect(maps.Values(n.listedByEntries))...)...)
 }
 
 // chooseEntries dials entries that are newly chosen, and gives up those that are not listed any more, or that others have
 // taken the place of.
 func (n *Node) chooseEntries() {
 	candidates := make(map[string]peers.Candidate)
-	up, _ := n.keeper.Known()
+	up, _ := n.manager.Snapshot()
 	for _, e := range n.allListed() {
 		l := string(e.Address)
 		d := n.dialled[l]
@@ -106,18 +106,18 @@
 	for l := range chosen {
 		if n.dialled[l] == nil {
 			ctx, cancel := context.WithCancel(n.ctx)
-			n.dialled[l] = &dialled{cancel: cancel}
+			n.dialled[l] = &dialTarget{cancel: cancel}
 			go n.keepLink(ctx, l)
 		}
 	}
 	for l, d := range n.dialled {
 		_, listed := candidates[l]
-		if listed && (chosen[l] || n.keeper.Owns(d.last)) {
+		if listed && (chosen[l] || n.manager.HasRunsOf(d.lastEntry)) {
 			continue
 		}
 		d.cancel()
 		delete(n.dialled, l)
-		if link := n.links.Get(d.last); listed && link != nil {
+		if link := n.links.Get(d.lastEntry); listed && link != nil {
 			// It is linked and has nothing here. One that nobody lists any more may still have, and keeps its link.
 			link.Session.Close()
 		}
@@ -125,18 +125,18 @@
 }
 
 // quickDials is how long a lost entry is dialled at the shorter pause; one that restarts is back within it.
-const quickDials = 5 * time.Second
+const quickRedialPeriod = 5 * time.Second
 
 // slowDown is by how much the pause is longer afterwards.
-const slowDown = 5
+const slowRedialFactor = 5
 
 // keepLink dials an entry again and again until ctx ends. A link that stands when ctx ends is kept.
 func (n *Node) keepLink(ctx context.Context, address string) {
-	since, greet := time.Now(), n.set.Links.Quiet()
+	since, greet := time.Now(), n.set.Links.LinkTimeout()
 	for ctx.Err() == nil {
 		began := time.Now()
 		s, err := session.Dial(n.dial, address, session.Limits{Dial: n.set.Links.DialTimeout, Greet: greet}, n.hello())
-		greet = n.greeting(greet, err)
+		greet = n.nextGreetTimeout(greet, err)
 		if err != nil {
 			n.loop.Post(dialFailed{address, errors.Is(err, syscall.ECONNREFUSED)})
 		} else if ctx.Err() != nil {
@@ -149,8 +149,8 @@
 			since = time.Now()
 			continue // a link that was reset is back sooner than its runs are given up
 		}
-		if time.Since(since) > quickDials {
-			pause *= slowDown
+		if time.Since(since) > quickRedialPeriod {
+			pause *= slowRedialFactor
 		}
 		select {
 		case <-ctx.Done():
@@ -161,9 +161,9 @@
 
 // greeting returns how long the next greeting is waited for. A connection may have fallen silent during the last one; but after
 // several that came to nothing the entry stands still, and finds each of them when it wakes.
-func (n *Node) greeting(last time.Duration, err error) time.Duration {
+func (n *Node) nextGreetTimeout(last time.Duration, err error) time.Duration {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		return n.set.Links.Quiet()
+		return n.set.Links.LinkTimeout()
 	}
 	return min(2*last, session.LongestGreeting)
 }
@@ -171,7 +171,7 @@
 // hello is this process's first message on each link.
 func (n *Node) hello() *wire.Hello {
 	return &wire.Hello{
-		Role: roleAgent, Session: n.dials.Add(1), Name: n.set.Node.Name, Incarnation: uint64(n.inc), Zone: n.set.Node.Zone, Region: n.set.Node.Region,
+		Role: roleAgent, Session: n.dialCount.Add(1), Name: n.set.Node.Name, Incarnation: uint64(n.inc), Zone: n.set.Node.Zone, Region: n.set.Node.Region,
 	}
 }
 
@@ -191,28 +191,28 @@
 		// The entry goes by two addresses. The older link is kept: with the newer one, the two would go on replacing
 		// each other.
 		if d := n.dialled[address]; d != nil {
-			d.last, d.failing = old.Peer, false
+			d.lastEntry, d.failing = old.Peer, false
 		}
 		s.Close()
 		return
 	}
 	l := n.links.Add(now, s)
-	n.observer.Linked(l.Peer, l.Name(), n.needsName)
+	n.observer.Linked(l.Peer, l.Name(), n.hasLinkOrRuns)
 	if d := n.dialled[address]; d != nil {
-		if d.last != l.Peer {
-			n.keeper.Gone(now, d.last, "restarted")
+		if d.lastEntry != l.Peer {
+			n.manager.EntryGone(now, d.lastEntry, "restarted")
 		}
-		d.last, d.failing = l.Peer, false
+		d.lastEntry, d.failing = l.Peer, false
 	}
-	n.greetCrashes(now, l)
-	n.keeper.Linked(now, l.Peer)
-	n.passConfig(now, l)
-	l.TellCordons(n.cordons.All())
+	n.sendAllCrashes(now, l)
+	n.manager.EntryLinked(now, l.Peer)
+	n.relayConfig(now, l)
+	l.TellCordons(n.cordons.Snapshots())
 }
 
 // needsName tells whether an entry is linked or has runs here.
-func (n *Node) needsName(entry ident.Incarnation) bool {
-	return n.links.Get(entry) != nil || n.keeper.Owns(entry)
+func (n *Node) hasLinkOrRuns(entry ident.Incarnation) bool {
+	return n.links.Get(entry) != nil || n.manager.HasRunsOf(entry)
 }
 
 // handleDialFailed handles an address that can't be reached. When it refuses, nobody listens there any more: the entry
@@ -222,9 +222,9 @@
 	if d == nil {
 		return
 	}
-	if refused && d.last != 0 {
-		n.keeper.Gone(now, d.last, "refused")
-		d.last = 0
+	if refused && d.lastEntry != 0 {
+		n.manager.EntryGone(now, d.lastEntry, "refused")
+		d.lastEntry = 0
 	}
 	if !d.failing {
 		d.failing = true
@@ -235,7 +235,7 @@
 // handleLinkDown handles the end of a link's session: its entry is out of hearing.
 func (n *Node) handleLinkDown(now time.Time, s *session.Session, err error) {
 	if l := n.links.Ended(s, err); l != nil {
-		n.keeper.Unlinked(now, l.Peer, "link_down")
+		n.manager.EntryUnlinked(now, l.Peer, "link_down")
 	}
 }
 
@@ -250,38 +250,38 @@
 			l.Session.Close()
 			return
 		}
-		n.keeper.Order(now, l.Peer, o)
+		n.manager.Order(now, l.Peer, o)
 	case *wire.Msg_Stop:
 		r, why := codec.ReadStop(m.Stop)
-		n.keeper.StopTask(now, l.Peer, r, why)
+		n.manager.StopTask(now, l.Peer, r, why)
 	case *wire.Msg_Ping:
 		k := codec.ReadPing(m.Ping)
-		n.keeper.Ping(now, l.Peer, k.Echo, k.Pace)
+		n.manager.Ping(now, l.Peer, k.Echo, k.Pace)
 		l.Own.follows = k.Follows
 		l.Config = max(l.Config, k.Config)
-		n.passConfig(now, l)
+		n.relayConfig(now, l)
 	case *wire.Msg_Noted:
-		n.keeper.Noted(codec.ReadNoted(m.Noted))
+		n.manager.ResolveEnds(codec.ReadNoted(m.Noted))
 	case *wire.Msg_Ask:
 		number, jobs := codec.ReadAsk(m.Ask)
-		n.keeper.Ask(now, l.Peer, number, jobs)
+		n.manager.QueryEnds(now, l.Peer, number, jobs)
 	case *wire.Msg_Holding:
 		_, jobs := codec.ReadHolding(m.Holding)
-		n.keeper.Holding(now, l.Peer, jobs)
+		n.manager.Holding(now, l.Peer, jobs)
 	case *wire.Msg_Release:
-		n.keeper.Release(now, codec.ReadRelease(m.Release, l.Peer))
+		n.manager.Release(now, codec.ReadRelease(m.Release, l.Peer))
 	case *wire.Msg_Released:
-		n.keeper.Released(codec.ReadReleased(m.Released))
+		n.manager.Released(codec.ReadReleased(m.Released))
 	case *wire.Msg_Config:
 		n.handleConfig(now, l, m.Config)
 	case *wire.Msg_Cordons:
 		n.adoptCordons(l.HeardCordons(m.Cordons), "link")
-		l.TellCordons(n.cordons.All()) // what it told may be out of date
+		l.TellCordons(n.cordons.Snapshots()) // what it told may be out of date
 	case *wire.Msg_Crashes:
 		crashes, refuted := codec.ReadCrashes(m.Crashes)
-		n.adoptCrashes(now, l, crashes, refuted)
+		n.mergeCrashes(now, l, crashes, refuted)
 	case *wire.Msg_Peers:
-		n.handleTold(l.Peer, codec.ReadPeers(m.Peers))
+		n.handlePeers(l.Peer, codec.ReadPeers(m.Peers))
 	default:
 		n.log.WithField("entry", l.Name()).Warn("message_unknown")
 	}
@@ -312,7 +312,7 @@
 }
 
 // Asked tells that all ends that a question is about have been told.
-func (s *sender) Asked(to ident.Incarnation, number uint64) { s.links.Send(to, codec.Asked(number)) }
+func (s *sender) EndsSent(to ident.Incarnation, number uint64) { s.links.Send(to, codec.Asked(number)) }
 
 // Settled tells that nothing of earlier sessions remains.
 func (s *sender) Settled(to ident.Incarnation) { s.links.Send(to, codec.Settled()) }
--- a/internal/agent/node/links_test.go
+++ b/internal/agent/node/links_test.go
@@ -16,12 +16,12 @@
 )
 
 // nothing remembers no upstream.
-type nothing struct{}
+type emptyMemory struct{}
 
-func (nothing) Recall(context.Context) (lives.Known, bool, error) {
-	return lives.Known{}, false, nil
+func (emptyMemory) Load(context.Context) (lives.Snapshot, bool, error) {
+	return lives.Snapshot{}, false, nil
 }
-func (nothing) Remember(context.Context, lives.Known) error { return nil }
+func (emptyMemory) Save(context.Context, lives.Snapshot) error { return nil }
 
 // TestSilentGreeting: a connection that falls silent before the entry's greeting is given up as soon as a silent link; the
 // more greetings come to nothing one after the other, the longer each is waited for.
@@ -32,7 +32,7 @@
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
 	set.Node.Link, set.Node.Seeds = settings.Address(ln.Addr().String()), []string{ln.Addr().String()}
-	n := node.New(set, nil, nothing{}, session.TCP, logs.Discard())
+	n := node.New(set, nil, emptyMemory{}, session.TCP, logs.Discard())
 	qt.Assert(t, n.Start(context.Background()), qt.IsNil)
 	defer n.Stop()
 	var last time.Time
--- a/internal/agent/node/memory.go
+++ b/internal/agent/node/memory.go
@@ -12,17 +12,17 @@
 
 // Memory keeps what this agent's next life should know.
 type Memory interface {
-	Recall(ctx context.Context) (lives.Known, bool, error)
-	Remember(ctx context.Context, u lives.Known) error
+	Load(ctx context.Context) (lives.Snapshot, bool, error)
+	Save(ctx context.Context, u lives.Snapshot) error
 }
 
 // recallPause is the pause between two attempts to read or write the memory.
-const recallPause = 300 * time.Millisecond
+const memoryRetryPause = 300 * time.Millisecond
 
 // recall reads what an earlier life has remembered, until a heartbeat makes that needless.
 func (n *Node) recall() {
 	for n.ctx.Err() == nil {
-		u, found, err := n.memory.Recall(n.ctx)
+		u, found, err := n.memory.Load(n.ctx)
 		if err == nil {
 			if found {
 				n.loop.Post(recalled{u})
@@ -33,16 +33,16 @@
 		if ready, _ := n.Ready(); ready {
 			return
 		}
-		time.Sleep(recallPause)
+		time.Sleep(memoryRetryPause)
 	}
 }
 
 // grownPause is how long a room that has grown waits to be remembered: to recall less costs a heartbeat's time of a part of the room, while
 // each write of agents whose rooms change all the time takes of what the store can carry for all.
-const grownPause = 4 * time.Second
+const growthDelay = 4 * time.Second
 
 // noted is what was remembered of an upstream, and when.
-type noted struct {
+type savedState struct {
 	life     ident.UpstreamLife
 	draining bool
 	// total is its room: a next life of the agent that recalled more would start runs beyond it.
@@ -53,8 +53,8 @@
 }
 
 // notedOf is what of a known upstream is remembered.
-func notedOf(now time.Time, u *lives.Known) noted {
-	n := noted{life: u.Life(), draining: u.Draining, total: u.Total, at: now}
+func savedStateOf(now time.Time, u *lives.Snapshot) savedState {
+	n := savedState{life: u.Life(), draining: u.Draining, total: u.Total, at: now}
 	for _, c := range u.Crashes {
 		n.crash = max(n.crash, c.Loss)
 	}
@@ -62,38 +62,38 @@
 }
 
 // outdated tells whether something else is to be remembered.
-func (n noted) outdated(now time.Time, next noted) bool {
+func (n savedState) outdated(now time.Time, next savedState) bool {
 	shrunk := !n.total.Fits(next.total)
-	grown := n.total != next.total && now.Sub(n.at) >= grownPause
+	grown := n.total != next.total && now.Sub(n.at) >= growthDelay
 	return next.crash > n.crash || n.life != next.life || n.draining != next.draining || shrunk || grown
 }
 
 // remember lets what is new of the upstream be written, in place of what has not been yet.
-func (n *Node) remember(now time.Time, u lives.Known) {
-	n.remembered = notedOf(now, &u)
+func (n *Node) queueSave(now time.Time, u lives.Snapshot) {
+	n.lastSaved = savedStateOf(now, &u)
 	select {
-	case <-n.toRemember:
+	case <-n.toSave:
 	default:
 	}
-	n.toRemember <- u
+	n.toSave <- u
 }
 
 // keepRemembering writes what is to be remembered, one thing at a time, until the node stops.
-func (n *Node) keepRemembering() {
+func (n *Node) writeMemory() {
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
-		case u := <-n.toRemember:
-			n.write(u)
+		case u := <-n.toSave:
+			n.writeWithRetries(u)
 		}
 	}
 }
 
 // write writes what is to be remembered, until it is written or something newer is.
-func (n *Node) write(u lives.Known) {
+func (n *Node) writeWithRetries(u lives.Snapshot) {
 	for {
-		err := n.memory.Remember(n.ctx, u)
+		err := n.memory.Save(n.ctx, u)
 		if err == nil || n.ctx.Err() != nil {
 			return
 		}
@@ -101,8 +101,8 @@
 		select {
 		case <-n.ctx.Done():
 			return
-		case u = <-n.toRemember:
-		case <-time.After(recallPause):
+		case u = <-n.toSave:
+		case <-time.After(memoryRetryPause):
 		}
 	}
 }
--- a/internal/agent/node/node.go
+++ b/internal/agent/node/node.go
@@ -18,8 +18,8 @@
 	"hillreel/internal/core/fleet"
 	"hillreel/internal/core/ident"
 	"hillreel/internal/core/loop"
-	"hillreel/internal/core/patience"
 	"hillreel/internal/core/settings"
+	"hillreel/internal/core/timeout"
 	"hillreel/internal/link/links"
 	"hillreel/internal/link/session"
 	"hillreel/internal/link/wire"
@@ -35,35 +35,35 @@
 	inc      ident.Incarnation
 	loop     *loop.Loop
 	// dials counts the links that were dialled, so that entries can tell newer ones from older ones.
-	dials atomic.Uint64
+	dialCount atomic.Uint64
 	// following is how many entries are linked that read the store's tables that agents need.
 	following atomic.Int32
 	ctx       context.Context
 	cancel    context.CancelFunc
 
 	// The control goroutine owns what follows.
-	keeper   *upstream.Keeper
+	manager  *upstream.Controller
 	observer *observer
 	// remembered is what was last given to the memory.
-	remembered noted
+	lastSaved savedState
 	// toRemember is what waits to be written there, at most one.
-	toRemember chan lives.Known
-	patience   patience.Patience
-	links      *links.Set[keepAlive]
+	toSave   chan lives.Snapshot
+	patience timeout.Adaptive
+	links    *links.Set[linkState]
 	// dialled are the entries that are dialled or linked, by address; listed are those that each source listed last, told those that entries did.
-	dialled map[string]*dialled
-	listed  map[source][]fleet.Entry
-	told    map[ident.Incarnation][]fleet.Entry
-	relay   relayed
+	dialled         map[string]*dialTarget
+	listed          map[source][]fleet.Entry
+	listedByEntries map[ident.Incarnation][]fleet.Entry
+	relay           relayedConfig
 	// cordons is what is known of the zones that operators have cordoned.
 	cordons *cordon.Set
 	// crashes is what is known of the tasks that upstreams were lost under.
-	crashes *crash.Account
+	crashes *crash.Tracker
 	// lostHere are those of this VM's upstreams, to be remembered.
-	lostHere []fleet.Crash
-	pulse    links.Pulse
+	localCrashes []fleet.Crash
+	pulse        links.Pulse
 	// holdsFail is true while holds get no answer.
-	holdsFail bool
+	holdsFailing bool
 }
 
 // New returns a Node that has not started.
@@ -71,22 +71,22 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		set: set, log: log, dial: dial, upstream: u, memory: m, inc: ident.NewIncarnation(), loop: loop.New(), ctx: ctx, cancel: cancel,
-		links:      links.New[keepAlive]("entry", cordon.NewOpenPeer, log),
-		pulse:      links.Pulse{Limit: set.Links.Silence / 2, Pause: set.Links.Silence / 4, Log: log},
-		dialled:    make(map[string]*dialled),
-		listed:     make(map[source][]fleet.Entry),
-		told:       make(map[ident.Incarnation][]fleet.Entry),
-		relay:      relayed{config: &wire.Config{}},
-		cordons:    cordon.NewSet(nil),
-		crashes:    crash.New(nil),
-		toRemember: make(chan lives.Known, 1),
-		patience:   patience.New(patienceFactor, leastPatience, set.Agent.CallTimeout),
+		links:           links.New[linkState]("entry", cordon.NewPeerWithoutCordons, log),
+		pulse:           links.Pulse{Limit: set.Links.Silence / 2, Pause: set.Links.Silence / 4, Log: log},
+		dialled:         make(map[string]*dialTarget),
+		listed:          make(map[source][]fleet.Entry),
+		listedByEntries: make(map[ident.Incarnation][]fleet.Entry),
+		relay:           relayedConfig{config: &wire.Config{}},
+		cordons:         cordon.NewSet(nil),
+		crashes:         crash.New(nil),
+		toSave:          make(chan lives.Snapshot, 1),
+		patience:        timeout.New(patienceFactor, minPatience, set.Agent.CallTimeout),
 	}
 	n.observer = newObserver(set.Links.Timing(), log)
 	n.pulse.Every, n.pulse.Late = set.Links.Tick, n.observer.Ticked
 	n.pulse.Tick(boottime.Now())
-	n.keeper = upstream.New(set.Links.Timing(), nil, boottime.Now(), (*caller)(n), (*sender)(n), n.observer)
-	n.keeper.SetZone(upstream.ZoneUnknown)
+	n.manager = upstream.New(set.Links.Timing(), nil, boottime.Now(), (*caller)(n), (*sender)(n), n.observer)
+	n.manager.SetZone(upstream.ZoneUnknown)
 	return n
 }
 
@@ -95,7 +95,7 @@
 	go n.loop.Run(n.set.Links.Tick, n.handle, n.tick)
 	n.SetSeeds(n.set.Node.Seeds)
 	go n.recall()
-	go n.keepRemembering()
+	go n.writeMemory()
 	return nil
 }
 
@@ -107,17 +107,17 @@
 }
 
 // Beat handles a heartbeat of the upstream.
-func (n *Node) Beat(b lives.Beat) { n.loop.Post(b) }
+func (n *Node) HandleHeartbeat(b lives.Heartbeat) { n.loop.Post(b) }
 
 // Left handles the upstream's word that it has ended.
-func (n *Node) Left(id ident.UpstreamID) { n.loop.Post(left{id}) }
+func (n *Node) HandleUpstreamLeft(id ident.UpstreamID) { n.loop.Post(upstreamLeft{id}) }
 
 // Leave makes the agent take no more work.
-func (n *Node) Leave() { n.loop.Post(func() { n.keeper.Leave(); n.keeper.Flush(boottime.Now()) }) }
+func (n *Node) Leave() { n.loop.Post(func() { n.manager.Leave(); n.manager.Flush(boottime.Now()) }) }
 
 // Runs returns how many runs are, or may be, at the upstream.
 func (n *Node) Runs() (count int) {
-	n.loop.Call(func() { count = n.keeper.Runs() })
+	n.loop.Call(func() { count = n.manager.RunCount() })
 	return count
 }
 
@@ -125,7 +125,7 @@
 func (n *Node) Ready() (ok bool, why string) {
 	ok, why = false, "stopped"
 	n.loop.Call(func() {
-		switch _, known := n.keeper.Known(); {
+		switch _, known := n.manager.Snapshot(); {
 		case !known:
 			why = "no heartbeat of the upstream yet"
 		case n.links.Len() == 0:
@@ -139,8 +139,8 @@
 
 // The events that the control goroutine handles, beside lives.Beat.
 type (
-	left     struct{ id ident.UpstreamID }
-	recalled struct{ known lives.Known }
+	upstreamLeft struct{ id ident.UpstreamID }
+	recalled     struct{ known lives.Snapshot }
 	// orderDone carries the end of a start or a stop, and how long its answer took if there was one.
 	orderDone struct {
 		took, limit time.Duration
@@ -177,7 +177,7 @@
 	}
 	holdDone struct {
 		call call.Hold
-		held call.Held
+		held call.HoldResult
 		err  error
 	}
 	// cordonsRead carries what the store says of cordons.
@@ -192,15 +192,15 @@
 func (n *Node) handle(e loop.Event) {
 	now := n.pulse.CatchUp(n.tick)
 	switch e := e.(type) {
-	case lives.Beat:
-		n.keeper.Beat(now, e)
+	case lives.Heartbeat:
+		n.manager.Heartbeat(now, e)
 	case recalled:
 		n.log.WithField("upstream", e.known.Life()).Info("upstream_recalled")
 		n.recallCrashes(now, e.known.Crashes)
-		n.keeper.Recall(now, e.known)
-	case left:
+		n.manager.Recall(now, e.known)
+	case upstreamLeft:
 		n.log.WithField("upstream", e.id).Info("upstream_left")
-		n.keeper.Left(now, e.id)
+		n.manager.UpstreamLeft(now, e.id)
 	case linkUp:
 		n.handleLinkUp(now, e.session, e.address)
 	case dialFailed:
@@ -211,33 +211,33 @@
 		n.links.Receive(now, e.session, e.msgs, func(l *link, m *wire.Msg) { n.handleMessage(now, l, m) })
 	case orderDone:
 		if e.answered {
-			n.patience.Learn(e.took)
+			n.patience.Observe(e.took)
 		} else {
-			n.patience.Missed(e.limit)
+			n.patience.ObserveTimeout(e.limit)
 		}
 		n.handleOrderDone(now, e.end)
 	case holdDone:
-		n.noteHold(e.err)
-		n.keeper.HoldDone(now, e.call, e.held)
+		n.logHoldFailure(e.err)
+		n.manager.HoldDone(now, e.call, e.held)
 	case cordonsRead:
 		n.adoptCordons(e.snapshot, "store")
 	case entriesListed:
 		n.handleListed(e.by, e.entries)
 	}
-	n.noteLife(now)
-	n.keeper.Flush(now)
+	n.saveLife(now)
+	n.manager.Flush(now)
 }
 
 // noteLife remembers a life of the upstream that was taken up, that leaves, or whose room has changed, and chooses the entries that want
 // its service.
-func (n *Node) noteLife(now time.Time) {
-	u, known := n.keeper.Known()
-	u.Crashes = n.lostHere
-	if !known || !n.remembered.outdated(now, notedOf(now, &u)) {
+func (n *Node) saveLife(now time.Time) {
+	u, known := n.manager.Snapshot()
+	u.Crashes = n.localCrashes
+	if !known || !n.lastSaved.outdated(now, savedStateOf(now, &u)) {
 		return
 	}
-	began := n.remembered.life != u.Life()
-	n.remember(now, u)
+	began := n.lastSaved.life != u.Life()
+	n.queueSave(now, u)
 	if began {
 		n.chooseEntries()
 	}
@@ -252,33 +252,33 @@
 		}
 	}
 	n.following.Store(count)
-	if count >= Tellers {
+	if count >= MinFollowingEntries {
 		delete(n.listed, store) // it grows old while nobody reads it
 	}
 }
 
 // Tellers is how many entries must tell what changes in the store, for the agent not to read it: with fewer, as in small regions, it reads as
 // well, so that what it knows does not depend on entries that the store may have turned away without their knowing it yet.
-const Tellers = 6
+const MinFollowingEntries = 6
 
 // Following returns how many of the entries that are linked read the store's tables that agents need, and tell what changes there.
-func (n *Node) Following() int { return int(n.following.Load()) }
+func (n *Node) FollowingEntries() int { return int(n.following.Load()) }
 
 // noteHold logs the first of several holds without an answer: one that is refused says more of the upstream than one that is lost.
-func (n *Node) noteHold(err error) {
-	if err != nil && !n.holdsFail {
+func (n *Node) logHoldFailure(err error) {
+	if err != nil && !n.holdsFailing {
 		n.log.WithField("error", err.Error()).Info("hold_unanswered")
 	}
-	n.holdsFail = err != nil
+	n.holdsFailing = err != nil
 }
 
 // handleOrderDone hands the end of a start or a stop to the keeper.
 func (n *Node) handleOrderDone(now time.Time, end any) {
 	switch e := end.(type) {
 	case startDone:
-		n.keeper.StartDone(now, e.call, e.answer, e.clock)
+		n.manager.StartDone(now, e.call, e.answer, e.clock)
 	case stopDone:
-		n.keeper.StopDone(now, e.call, e.answer, e.clock)
+		n.manager.StopDone(now, e.call, e.answer, e.clock)
 	}
 }
 
@@ -286,10 +286,10 @@
 func (n *Node) tick() {
 	now := boottime.Now()
 	n.pulse.Tick(now)
-	n.keeper.Tick(now)
-	for _, l := range n.links.DropSilent(now, n.pulse.Running, links.Limits{Quiet: n.set.Links.Quiet(), Silence: n.set.Links.Silence}) {
-		n.keeper.Unlinked(now, l.Peer, "silent")
+	n.manager.Tick(now)
+	for _, l := range n.links.DropSilent(now, n.pulse.Running, links.Limits{Quiet: n.set.Links.LinkTimeout(), Silence: n.set.Links.Silence}) {
+		n.manager.EntryUnlinked(now, l.Peer, "silent")
 	}
 	n.countFollowing()
-	n.keeper.Flush(now)
+	n.manager.Flush(now)
 }
--- a/internal/agent/node/observe.go
+++ b/internal/agent/node/observe.go
@@ -26,7 +26,7 @@
 	times    *metrics.Latencies
 	margins  *metrics.Margins
 	// stoppedWithin is how long the stop of an unwanted run may take.
-	stoppedWithin time.Duration
+	maxStopTime time.Duration
 	// names are those of the entries that are linked or have runs here.
 	names map[ident.Incarnation]string
 }
@@ -34,7 +34,7 @@
 func newObserver(t fleet.Timing, log *logrus.Entry) *observer {
 	return &observer{
 		log: log, counters: metrics.NewCounters("agent"), times: metrics.NewLatencies("run_ms"), margins: metrics.NewMargins("margins"),
-		stoppedWithin: t.StoppedWithin(), names: make(map[ident.Incarnation]string),
+		maxStopTime: t.StopBound(), names: make(map[ident.Incarnation]string),
 	}
 }
 
@@ -45,63 +45,63 @@
 }
 
 // Ended notes the end of a run. One that ended well has a line only if it was to be stopped, or its entry does not hear of it.
-func (o *observer) Ended(e upstream.Ending) {
+func (o *observer) RunEnded(e upstream.Ending) {
 	o.counters.Add("runs_"+string(e.Outcome), 1)
 	if e.Outcome == job.Done {
 		o.times.Record("done", e.Took)
-		if e.Stop == nil && !e.Unheard {
+		if e.Stop == nil && !e.OwnerUnlinked {
 			return
 		}
 	}
 	f := logrus.Fields{
 		"job": e.Task.Job, "task": e.Task, "run": e.Run, "outcome": e.Outcome, "reason": e.Reason, "took_ms": e.Took.Milliseconds(),
-		"begun_ms_ago": e.Begun.Milliseconds(), "entry": o.names[e.Owner], "entry_incarnation": e.Owner,
+		"begun_ms_ago": e.StartedAgo.Milliseconds(), "entry": o.names[e.Owner], "entry_incarnation": e.Owner,
 	}
-	if e.Unheard {
+	if e.OwnerUnlinked {
 		f["unheard"] = true
 	}
 	if e.Stop != nil {
-		addStop(f, e.Stop)
-		o.noteStop(f, e.Stop)
+		addStopFields(f, e.Stop)
+		o.recordStop(f, e.Stop)
 	}
-	if e.Next != 0 {
+	if e.Successor != 0 {
 		o.counters.Add("runs_ordered_anew", 1)
-		f["ordered_anew_by"], f["ordered_anew_by_incarnation"] = o.names[e.Next], e.Next
+		f["ordered_anew_by"], f["ordered_anew_by_incarnation"] = o.names[e.Successor], e.Successor
 	}
 	o.log.WithFields(f).Info("run_ended")
 }
 
 // noteStop compares how long the stop of a run took with what is promised.
-func (o *observer) noteStop(f logrus.Fields, s *upstream.Stop) {
+func (o *observer) recordStop(f logrus.Fields, s *upstream.Stop) {
 	if !s.Unwanted {
 		return
 	}
-	o.margins.Record("stop", s.Pressing, o.stoppedWithin)
-	if s.Pressing > o.stoppedWithin {
+	o.margins.Record("stop", s.UnwantedFor, o.maxStopTime)
+	if s.UnwantedFor > o.maxStopTime {
 		o.counters.Add("stops_overdue", 1)
 		f["stop_overdue"] = true
 	}
 }
 
 // addStop adds how a run was stopped to the line of its end. Its times are counted back from the line's.
-func addStop(f logrus.Fields, s *upstream.Stop) {
-	f["stop_why"], f["stop_asked_ms_ago"], f["stop_answered"] = s.Cause, s.Asked.Milliseconds(), s.Acked
-	if s.Acked {
-		f["stop_answered_ms_ago"] = s.Answered.Milliseconds()
+func addStopFields(f logrus.Fields, s *upstream.Stop) {
+	f["stop_why"], f["stop_asked_ms_ago"], f["stop_answered"] = s.Cause, s.AskedAgo.Milliseconds(), s.IsAnswered
+	if s.IsAnswered {
+		f["stop_answered_ms_ago"] = s.AnsweredAgo.Milliseconds()
 	}
 	if s.Unwanted {
-		f["unwanted_ms"] = s.Pressing.Milliseconds()
+		f["unwanted_ms"] = s.UnwantedFor.Milliseconds()
 	}
 }
 
 // State logs a change of what entries are told of the upstream.
-func (o *observer) State(from, to fleet.State, why string) {
+func (o *observer) StateChanged(from, to fleet.State, why string) {
 	o.counters.Add("state_"+string(to), 1)
 	o.log.WithFields(logrus.Fields{"from": from, "to": to, "why": why}).Info("upstream_state")
 }
 
 // Orphaned logs that the runs of a lost entry are stopped.
-func (o *observer) Orphaned(owner ident.Incarnation, runs int, why string, late time.Duration) {
+func (o *observer) RunsOrphaned(owner ident.Incarnation, runs int, why string, late time.Duration) {
 	o.counters.Add("runs_orphaned", int64(runs))
 	o.margins.Record("orphaning", late, fleet.TimerMargin)
 	o.log.WithFields(logrus.Fields{
@@ -110,10 +110,10 @@
 }
 
 // Unconfirmed logs the ends that a lost entry may not have heard of: it places their tasks again.
-func (o *observer) Unconfirmed(owner ident.Incarnation, ends []fleet.End) {
+func (o *observer) EndsUnconfirmed(owner ident.Incarnation, ends []fleet.End) {
 	o.counters.Add("ends_unconfirmed", int64(len(ends)))
 	var names []string
-	for _, e := range ends[max(len(ends)-maxNamed, 0):] {
+	for _, e := range ends[max(len(ends)-maxListed, 0):] {
 		names = append(names, fmt.Sprintf("%v/%d@%s", e.Task, e.Run, e.Outcome))
 	}
 	o.log.WithFields(logrus.Fields{
@@ -122,7 +122,9 @@
 }
 
 // Lapsed notes that the lease of all runs has lapsed.
-func (o *observer) Lapsed(late time.Duration) { o.margins.Record("lapse", late, fleet.TimerMargin) }
+func (o *observer) LeaseLapsed(late time.Duration) {
+	o.margins.Record("lapse", late, fleet.TimerMargin)
+}
 
 // Ticked notes by how much a tick of the control goroutine was late.
 func (o *observer) Ticked(late time.Duration) {
@@ -130,19 +132,19 @@
 }
 
 // Outlived logs a heartbeat of an earlier life that was held up on the way.
-func (o *observer) Outlived(life, by ident.UpstreamLife) {
+func (o *observer) HeartbeatOutlived(life, by ident.UpstreamLife) {
 	o.counters.Add("late_heartbeats", 1)
 	o.log.WithFields(logrus.Fields{"upstream": life, "present": by}).Info("heartbeat_outlived")
 }
 
 // Begun logs a life of the upstream that is taken up.
-func (o *observer) Begun(life ident.UpstreamLife, why string, described bool) {
+func (o *observer) LifeBegun(life ident.UpstreamLife, why string, described bool) {
 	o.counters.Add("lives", 1)
 	o.log.WithFields(logrus.Fields{"upstream": life, "why": why, "described": described}).Info("upstream_begun")
 }
 
 // Dropped logs a heartbeat that counts as overtaken.
-func (o *observer) Dropped(b lives.Beat, newest uint64) {
+func (o *observer) HeartbeatDropped(b lives.Heartbeat, newest uint64) {
 	o.counters.Add("dropped_heartbeats", 1)
 	o.log.WithFields(logrus.Fields{
 		"upstream": b.Life(), "sequence": b.Sequence, "newest": newest, "draining": b.Draining,
@@ -150,7 +152,7 @@
 }
 
 // Gated counts and logs an order that is refused because the zone is cordoned: its entry has not heard of that.
-func (o *observer) Gated(task job.TaskID, entry ident.Incarnation) {
+func (o *observer) OrderGated(task job.TaskID, entry ident.Incarnation) {
 	o.counters.Add("orders_zone_cordoned", 1)
 	o.log.WithFields(logrus.Fields{
 		"job": task.Job, "task": task, "reason": fleet.ZoneCordoned, "entry_incarnation": entry,
@@ -158,33 +160,33 @@
 }
 
 // maxNamed bounds the runs that are named in one line.
-const maxNamed = 12
+const maxListed = 12
 
 // Lost logs the loss of an upstream and the youngest of the runs that were there, each with its age when the upstream last answered.
-func (o *observer) Lost(l upstream.Loss) {
+func (o *observer) UpstreamLost(l upstream.Loss) {
 	o.counters.Add("upstreams_lost", 1)
 	lost := slices.Clone(l.Runs)
 	slices.SortStableFunc(lost, func(a, b upstream.LostRun) int { return cmp.Compare(a.Age, b.Age) })
 	var youngest []string
-	for _, a := range lost[:min(len(lost), maxNamed)] {
+	for _, a := range lost[:min(len(lost), maxListed)] {
 		youngest = append(youngest, fmt.Sprintf("%v/%d@%dms", a.Task, a.Run, a.Age.Milliseconds()))
 	}
 	o.log.WithFields(logrus.Fields{
-		"upstream": l.Life, "why": l.Why, "silent_ms": l.Silent.Milliseconds(), "runs": len(l.Runs), "youngest": strings.Join(youngest, " "),
+		"upstream": l.Life, "why": l.Why, "silent_ms": l.SilentFor.Milliseconds(), "runs": len(l.Runs), "youngest": strings.Join(youngest, " "),
 	}).Warn("upstream_lost")
 }
 
 // Stray logs a run that nobody here has ordered: one of an earlier agent, or a start that came late.
-func (o *observer) Stray(r fleet.RunRef, event upstream.StrayEvent) {
+func (o *observer) StrayChanged(r fleet.RunRef, event upstream.StrayEvent) {
 	o.counters.Add(string(event), 1)
 	o.log.WithFields(logrus.Fields{"job": r.Task.Job, "task": r.Task, "run": r.Run}).Info(string(event))
 }
 
 // Overtaken counts a listing that is passed over: there can be one with each answer.
-func (o *observer) Overtaken() { o.counters.Add("listings_overtaken", 1) }
+func (o *observer) ListingOvertaken() { o.counters.Add("listings_overtaken", 1) }
 
 // Unsure logs a start that got no answer.
-func (o *observer) Unsure(task job.TaskID, run job.Run) {
+func (o *observer) StartUnsure(task job.TaskID, run job.Run) {
 	o.counters.Add("starts_unsure", 1)
 	o.log.WithFields(logrus.Fields{"job": task.Job, "task": task, "run": run}).Info("start_unsure")
 }
--- a/internal/agent/node/observe_test.go
+++ b/internal/agent/node/observe_test.go
@@ -26,7 +26,7 @@
 		return fleet.End{Task: job.TaskID{Job: 7, Index: 2}, Run: 3, Outcome: o, Took: 80 * time.Millisecond}
 	}
 	stop := &upstream.Stop{
-		Cause: upstream.SentAgain, Asked: 30 * time.Millisecond, Answered: 20 * time.Millisecond, Acked: true, Unwanted: true, Pressing: 10 * time.Millisecond,
+		Cause: upstream.SentAgain, AskedAgo: 30 * time.Millisecond, AnsweredAgo: 20 * time.Millisecond, IsAnswered: true, Unwanted: true, UnwantedFor: 10 * time.Millisecond,
 	}
 	for _, test := range []struct {
 		name      string
@@ -38,18 +38,18 @@
 			"msg=run_ended", "outcome=done", "entry=north", "run=3", "stop_why=sent_again", "stop_asked_ms_ago=30", "stop_answered=true", "stop_answered_ms_ago=20",
 			"unwanted_ms=10",
 		}, []string{"ordered_anew_by"}},
-		{"well, unheard", upstream.Ending{End: end(job.Done), Owner: 1, Unheard: true}, []string{"outcome=done", "unheard=true"}, []string{"stop_"}},
-		{"lost", upstream.Ending{End: end(job.Lost), Owner: 1, Begun: 90 * time.Millisecond}, []string{"outcome=lost", "begun_ms_ago=90"}, []string{"stop_"}},
+		{"well, unheard", upstream.Ending{End: end(job.Done), Owner: 1, OwnerUnlinked: true}, []string{"outcome=done", "unheard=true"}, []string{"stop_"}},
+		{"lost", upstream.Ending{End: end(job.Lost), Owner: 1, StartedAgo: 90 * time.Millisecond}, []string{"outcome=lost", "begun_ms_ago=90"}, []string{"stop_"}},
 		{"stopped without an answer", upstream.Ending{End: end(job.Stopped), Owner: 1, Stop: &upstream.Stop{Cause: "silent"}}, []string{
 			"stop_why=silent", "stop_answered=false",
 		}, []string{"stop_answered_ms_ago", "unwanted_ms"}},
-		{"stopped in time", upstream.Ending{End: end(job.Stopped), Owner: 1, Stop: &upstream.Stop{Unwanted: true, Pressing: 708 * time.Millisecond}}, []string{
+		{"stopped in time", upstream.Ending{End: end(job.Stopped), Owner: 1, Stop: &upstream.Stop{Unwanted: true, UnwantedFor: 708 * time.Millisecond}}, []string{
 			"unwanted_ms=708",
 		}, []string{"stop_overdue"}},
-		{"stopped late", upstream.Ending{End: end(job.Stopped), Owner: 1, Stop: &upstream.Stop{Unwanted: true, Pressing: 709 * time.Millisecond}}, []string{
+		{"stopped late", upstream.Ending{End: end(job.Stopped), Owner: 1, Stop: &upstream.Stop{Unwanted: true, UnwantedFor: 709 * time.Millisecond}}, []string{
 			"unwanted_ms=709", "stop_overdue=true",
 		}, nil},
-		{"ordered anew", upstream.Ending{End: end(job.Stopped), Owner: 1, Stop: stop, Next: 2}, []string{
+		{"ordered anew", upstream.Ending{End: end(job.Stopped), Owner: 1, Stop: stop, Successor: 2}, []string{
 			"ordered_anew_by=south", "ordered_anew_by_incarnation=" + ident.Incarnation(2).String(),
 		}, nil},
 	} {
@@ -61,7 +61,7 @@
 			all := func(ident.Incarnation) bool { return true }
 			o.Linked(1, "north", all)
 			o.Linked(2, "south", all)
-			o.Ended(test.end)
+			o.RunEnded(test.end)
 			for _, part := range test.has {
 				qt.Assert(t, out.String(), qt.Contains, part)
 			}
@@ -83,7 +83,7 @@
 	for i := range uint32(20) {
 		ends = append(ends, fleet.End{Task: job.TaskID{Job: 7, Index: i}, Run: 2, Outcome: job.Done})
 	}
-	o.Unconfirmed(1, ends)
+	o.EndsUnconfirmed(1, ends)
 	for _, part := range []string{"msg=ends_unconfirmed", "entry=north", "runs=20", `newest="0000000000000007.0.8/2@done`, `0000000000000007.0.19/2@done"`} {
 		qt.Assert(t, out.String(), qt.Contains, part)
 	}
--- a/internal/agent/node/takeover.go
+++ b/internal/agent/node/takeover.go
@@ -16,4 +16,4 @@
 func (s *sender) Release(t fleet.Takeover) { s.links.Send(t.Holder, codec.Release(t)) }
 
 // Released tells the entry that takes a job over that nothing of it remains.
-func (s *sender) Released(r fleet.Released) { s.links.Send(r.By, codec.Released(r)) }
+func (s *sender) Released(r fleet.Released) { s.links.Send(r.NewHolder, codec.Released(r)) }
--- a/internal/agent/owners/owners_test.go
+++ b/internal/agent/owners/owners_test.go
@@ -16,26 +16,26 @@
 func TestRefuses(t *testing.T) {
 	const id job.ID = 7
 	now := time.Unix(1000, 0)
-	taken := fleet.Takeover{Job: id, Holder: 1, By: 2}
+	taken := fleet.Takeover{Job: id, Holder: 1, NewHolder: 2}
 	for _, test := range []struct {
 		name    string
-		happens func(a *owners.Account)
+		happens func(a *owners.Registry)
 		after   time.Duration
 		entry   ident.Incarnation
 		want    bool
 	}{
-		{"its former holder", func(*owners.Account) {}, time.Second, 1, true},
-		{"the one that has taken it over", func(*owners.Account) {}, time.Second, 2, false},
-		{"a third one", func(*owners.Account) {}, time.Second, 3, false},
-		{"its former holder, long after", func(*owners.Account) {}, owners.Remember, 1, false},
-		{"its former holder, which takes it back", func(a *owners.Account) { a.Asked(fleet.Takeover{Job: id, Holder: 2, By: 1}) }, time.Second, 1, false},
+		{"its former holder", func(*owners.Registry) {}, time.Second, 1, true},
+		{"the one that has taken it over", func(*owners.Registry) {}, time.Second, 2, false},
+		{"a third one", func(*owners.Registry) {}, time.Second, 3, false},
+		{"its former holder, long after", func(*owners.Registry) {}, owners.Retention, 1, false},
+		{"its former holder, which takes it back", func(a *owners.Registry) { a.RecordTakeover(fleet.Takeover{Job: id, Holder: 2, NewHolder: 1}) }, time.Second, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			a := owners.New()
 			a.Refuse(now, taken)
 			test.happens(a)
-			qt.Assert(t, a.Refuses(now.Add(test.after), id, test.entry), qt.Equals, test.want)
-			qt.Assert(t, a.Refuses(now.Add(test.after), id+1, test.entry), qt.IsFalse)
+			qt.Assert(t, a.IsRefused(now.Add(test.after), id, test.entry), qt.Equals, test.want)
+			qt.Assert(t, a.IsRefused(now.Add(test.after), id+1, test.entry), qt.IsFalse)
 		})
 	}
 }
@@ -44,11 +44,11 @@
 func TestOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := owners.New()
-	a.Holds(now, 1, []job.ID{9, 7, 8})
-	a.Holds(now, 2, []job.ID{6})
-	a.Asked(fleet.Takeover{Job: 8, Holder: 1, By: 2})
-	qt.Assert(t, a.Others(now, 3), qt.DeepEquals, []owners.Held{{Entry: 1, Jobs: []job.ID{7, 9}}, {Entry: 2, Jobs: []job.ID{6}}})
-	qt.Assert(t, a.Others(now, 1), qt.DeepEquals, []owners.Held{{Entry: 2, Jobs: []job.ID{6}}})
-	a.Forget(now.Add(owners.Remember))
-	qt.Assert(t, a.Others(now, 3), qt.HasLen, 0)
+	a.RecordHeld(now, 1, []job.ID{9, 7, 8})
+	a.RecordHeld(now, 2, []job.ID{6})
+	a.RecordTakeover(fleet.Takeover{Job: 8, Holder: 1, NewHolder: 2})
+	qt.Assert(t, a.HeldByOthers(now, 3), qt.DeepEquals, []owners.Holding{{Entry: 1, Jobs: []job.ID{7, 9}}, {Entry: 2, Jobs: []job.ID{6}}})
+	qt.Assert(t, a.HeldByOthers(now, 1), qt.DeepEquals, []owners.Holding{{Entry: 2, Jobs: []job.ID{6}}})
+	a.Expire(now.Add(owners.Retention))
+	qt.Assert(t, a.HeldByOthers(now, 3), qt.HasLen, 0)
 }
--- a/internal/agent/process/process.go
+++ b/internal/agent/process/process.go
@@ -9,8 +9,8 @@
 	"github.com/pkg/errors"
 	"github.com/sirupsen/logrus"
 
-	"hillreel/internal/agent/memory"
 	"hillreel/internal/agent/node"
+	"hillreel/internal/agent/snapshot"
 	"hillreel/internal/config/cordon"
 	"hillreel/internal/config/store"
 	"hillreel/internal/core/bus"
@@ -27,18 +27,18 @@
 
 // Names under which the services register.
 const (
-	nameNode    = "agent"
-	nameBeats   = "heartbeats"
-	nameEntries = "entries"
-	nameCordons = "cordons"
-	nameObjects = "objects"
-	nameMetrics = "metrics"
+	nameNode       = "agent"
+	nameHeartbeats = "heartbeats"
+	nameEntries    = "entries"
+	nameCordons    = "cordons"
+	nameObjects    = "objects"
+	nameMetrics    = "metrics"
 )
 
 // Store is what an agent needs of the platform's store.
 type Store interface {
 	follow.Store
-	memory.Rows
+	snapshot.Rows
 }
 
 // Deps are what an agent gets from outside.
@@ -46,8 +46,8 @@
 	Store    Store
 	Upstream node.Upstream
 	// Beats makes the handler of the upstream's heartbeats.
-	Beats func(n *node.Node) http.Handler
-	Dial  session.Dialer
+	Heartbeats func(n *node.Node) http.Handler
+	Dial       session.Dialer
 	// Cordons is the table of the platform's store in which its operators cordon zones.
 	Cordons cordon.Table
 	Log     *logrus.Entry
@@ -55,11 +55,11 @@
 
 // Process is one agent.
 type Process struct {
-	set    *settings.Settings
-	log    *logrus.Entry
-	kernel *kernel.Kernel
-	Node   *node.Node
-	bus    *bus.Bus
+	settings *settings.Settings
+	log      *logrus.Entry
+	kernel   *kernel.Kernel
+	Node     *node.Node
+	bus      *bus.Bus
 }
 
 // New builds an agent's services.
@@ -67,8 +67,8 @@
 	if set.Agent.Upstream == "" {
 		return nil, errors.New("settings: [agent] upstream: must be set")
 	}
-	p := &Process{set: set, log: d.Log, kernel: kernel.New(d.Log), bus: bus.New()}
-	p.Node = node.New(set, d.Upstream, memory.New(d.Store, set.Node.Name), d.Dial, d.Log)
+	p := &Process{settings: set, log: d.Log, kernel: kernel.New(d.Log), bus: bus.New()}
+	p.Node = node.New(set, d.Upstream, snapshot.New(d.Store, set.Node.Name), d.Dial, d.Log)
 	metrics.Report("runs", func() any { return p.Node.Runs() })
 	dir := members.NewDirectory(func(entries []fleet.Entry) {
 		if err := p.bus.Publish(bus.Entries, entries); err != nil {
@@ -80,12 +80,12 @@
 		service kernel.Service
 	}{
 		{nameNode, p.Node},
-		{nameBeats, web.New("heartbeats", set.Agent.Control, d.Beats(p.Node), web.Small)},
-		{nameEntries, follow.New(d.Store, members.Table, follow.Whole, set.Platform.ListWait, dir.Change, d.Log).With(follow.Options{
-			Gather: dir.Gather, Rest: p.told(time.Now(), entriesGrace),
+		{nameHeartbeats, web.New("heartbeats", set.Agent.Control, d.Heartbeats(p.Node), web.Internal)},
+		{nameEntries, follow.New(d.Store, members.Table, follow.SinglePart, set.Platform.ListWait, dir.Change, d.Log).With(follow.Options{
+			BatchDelay: dir.Gather, Idle: p.relayedByEntries(time.Now(), entriesGrace),
 		})},
-		{nameCordons, p.follow(d, d.Cordons)},
-		{nameObjects, p.follow(d, store.Cordons)},
+		{nameCordons, p.followCordons(d, d.Cordons)},
+		{nameObjects, p.followCordons(d, store.Cordons)},
 		{nameMetrics, web.New("metrics", set.Node.Metrics, ops.Handler(nil, p.Node.Ready, nil), web.Operators)},
 	} {
 		if err := p.kernel.Register(s.name, s.service); err != nil {
@@ -96,10 +96,10 @@
 }
 
 // follow returns a follower of a table that holds cordons.
-func (p *Process) follow(d Deps, t cordon.Table) *follow.Follower {
+func (p *Process) followCordons(d Deps, t cordon.Table) *follow.Follower {
 	r := cordon.NewReader(t, p.Node.SetCordons, d.Log)
-	return follow.New(d.Store, t.Name, follow.Whole, p.set.Platform.ListWait, r.Change, d.Log).With(follow.Options{
-		Rest: p.told(time.Now(), cordonsGrace),
+	return follow.New(d.Store, t.Name, follow.SinglePart, p.settings.Platform.ListWait, r.ApplyChanges, d.Log).With(follow.Options{
+		Idle: p.relayedByEntries(time.Now(), cordonsGrace),
 	})
 }
 
@@ -113,8 +113,8 @@
 )
 
 // told tells whether entries tell the agent what is in the store, or soon may, after a start.
-func (p *Process) told(start time.Time, grace time.Duration) func() bool {
-	return func() bool { return p.Node.Following() >= node.Tellers || time.Since(start) < grace }
+func (p *Process) relayedByEntries(start time.Time, grace time.Duration) func() bool {
+	return func() bool { return p.Node.FollowingEntries() >= node.MinFollowingEntries || time.Since(start) < grace }
 }
 
 // Start starts all services in order.
@@ -134,7 +134,7 @@
 	// leavePoll is how often a leaving agent looks whether anything still runs.
 	leavePoll = 20 * time.Millisecond
 	// lastWords is how long the last ends have to get to their entries.
-	lastWords = 50 * time.Millisecond
+	finalSendTime = 50 * time.Millisecond
 )
 
 // Drain leaves: no new work, what runs may end, and then all stops. The grace of the settings bounds it.
@@ -142,11 +142,11 @@
 	began := time.Now()
 	p.log.WithField("runs", p.Node.Runs()).Info("leaving")
 	p.Node.Leave()
-	until := began.Add(p.set.Agent.Grace - leaveMargin)
+	until := began.Add(p.settings.Agent.Grace - leaveMargin)
 	for p.Node.Runs() > 0 && time.Now().Before(until) {
 		time.Sleep(leavePoll)
 	}
-	time.Sleep(lastWords)
+	time.Sleep(finalSendTime)
 	left := p.Node.Runs()
 	p.Stop()
 	p.log.WithFields(logrus.Fields{"took_ms": time.Since(began).Milliseconds(), "runs_left": left}).Info("left")
--- a/internal/agent/memory/memory.go
+++ b/internal/agent/snapshot/memory.go
@@ -1,6 +1,6 @@
 // Package memory keeps, in the platform's store, which upstream stands beside an agent, so that the agent's next life knows it before its
 // first heartbeat: its VM keeps nothing. It learns at once what runs there, and that an upstream leaves which has said so before.
-package memory
+package snapshot
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 }
 
 // Memory is one agent's row. It is safe for use by several goroutines.
-type Memory struct {
+type Store struct {
 	rows Rows
 	key  rows.Key
 
@@ -59,39 +59,39 @@
 }
 
 // crashes encodes crashes.
-func crashes(all []fleet.Crash) []crashRow {
+func encodeCrashes(all []fleet.Crash) []crashRow {
 	var out []crashRow
 	for _, c := range all {
-		out = append(out, crashRow{c.Task.Job, crash.RowOf(c)})
+		out = append(out, crashRow{c.Task.Job, crash.NewRow(c)})
 	}
 	return out
 }
 
 // New returns the memory of the agent on a VM.
-func New(r Rows, vm string) *Memory { return &Memory{rows: r, key: rows.Key{Table: table, Name: vm}} }
+func New(r Rows, vm string) *Store { return &Store{rows: r, key: rows.Key{Table: table, Name: vm}} }
 
 // Recall returns the upstream that was remembered last, and whether there is one.
-func (m *Memory) Recall(ctx context.Context) (lives.Known, bool, error) {
+func (m *Store) Load(ctx context.Context) (lives.Snapshot, bool, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	row, err := m.read(ctx)
 	if err != nil || row.Version == 0 {
-		return lives.Known{}, false, err
+		return lives.Snapshot{}, false, err
 	}
 	var v value
 	if err := json.Unmarshal(row.Value, &v); err != nil {
-		return lives.Known{}, false, errors.Wrap(err, "memory: row")
+		return lives.Snapshot{}, false, errors.Wrap(err, "memory: row")
 	}
 	up := fleet.Upstream{ID: v.ID, Service: v.Service, Labels: v.Labels, Total: job.Resources{CPU: v.CPU, Mem: v.Mem, GPU: v.GPU}}
-	known := lives.Known{Upstream: up, Born: v.Born, Draining: v.Draining}
+	known := lives.Snapshot{Upstream: up, Born: v.Born, Draining: v.Draining}
 	for _, c := range v.Crashes {
-		known.Crashes = append(known.Crashes, c.Of(c.Job))
+		known.Crashes = append(known.Crashes, c.Crash(c.Job))
 	}
 	return known, true, nil
 }
 
 // read reads the row, and learns its version.
-func (m *Memory) read(ctx context.Context) (rows.Row, error) {
+func (m *Store) read(ctx context.Context) (rows.Row, error) {
 	row, err := m.rows.Read(ctx, m.key)
 	m.version, m.known = row.Version, err == nil
 	return row, err
@@ -99,8 +99,8 @@
 
 // Remember keeps an upstream. A write without an answer may be carried out seconds later; it must not bring back what a newer one has
 // replaced, such as a room that has shrunk since. So each write is done only while the row is as it was read or written last.
-func (m *Memory) Remember(ctx context.Context, u lives.Known) error {
-	raw, err := json.Marshal(value{u.ID, u.Born, u.Service, u.Labels, u.Total.CPU, u.Total.Mem, u.Total.GPU, u.Draining, crashes(u.Crashes)})
+func (m *Store) Save(ctx context.Context, u lives.Snapshot) error {
+	raw, err := json.Marshal(value{u.ID, u.Born, u.Service, u.Labels, u.Total.CPU, u.Total.Mem, u.Total.GPU, u.Draining, encodeCrashes(u.Crashes)})
 	if err != nil {
 		return errors.Wrap(err, "memory: encode")
 	}
--- a/internal/agent/memory/memory_test.go
+++ b/internal/agent/snapshot/memory_test.go
@@ -1,4 +1,4 @@
-package memory_test
+package snapshot_test
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 
 	"hillreel/internal/agent/lives"
-	"hillreel/internal/agent/memory"
+	"hillreel/internal/agent/snapshot"
 	"hillreel/internal/core/fleet"
 	"hillreel/internal/core/ident"
 	"hillreel/internal/core/job"
@@ -41,23 +41,23 @@
 	return s.Version, nil
 }
 
-func known(cpu int64) lives.Known {
-	return lives.Known{Upstream: fleet.Upstream{ID: "u-1", Service: "s", Total: job.Resources{CPU: cpu}}}
+func known(cpu int64) lives.Snapshot {
+	return lives.Snapshot{Upstream: fleet.Upstream{ID: "u-1", Service: "s", Total: job.Resources{CPU: cpu}}}
 }
 
 // TestLateWrite: a write that got no answer and is carried out after a newer one changes nothing.
 func TestLateWrite(t *testing.T) {
 	ctx := context.Background()
 	s := &store{Store: standin.New()}
-	m := memory.New(s, "vm")
-	qt.Assert(t, m.Remember(ctx, known(3)), qt.IsNil)
+	m := snapshot.New(s, "vm")
+	qt.Assert(t, m.Save(ctx, known(3)), qt.IsNil)
 	s.loses = true
-	qt.Assert(t, m.Remember(ctx, known(2)), qt.Equals, errNoAnswer)
-	qt.Assert(t, m.Remember(ctx, known(1)), qt.IsNil)
+	qt.Assert(t, m.Save(ctx, known(2)), qt.Equals, errNoAnswer)
+	qt.Assert(t, m.Save(ctx, known(1)), qt.IsNil)
 	for _, late := range s.held {
 		qt.Assert(t, s.Store.Commit(late), qt.IsFalse)
 	}
-	u, found, err := memory.New(s, "vm").Recall(ctx)
+	u, found, err := snapshot.New(s, "vm").Load(ctx)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, found, qt.IsTrue)
 	qt.Assert(t, u, qt.DeepEquals, known(1))
@@ -67,14 +67,14 @@
 func TestWrittenMeanwhile(t *testing.T) {
 	ctx := context.Background()
 	s := &store{Store: standin.New()}
-	m, former := memory.New(s, "vm"), memory.New(s, "vm")
-	_, found, err := m.Recall(ctx)
+	m, former := snapshot.New(s, "vm"), snapshot.New(s, "vm")
+	_, found, err := m.Load(ctx)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, found, qt.IsFalse)
-	qt.Assert(t, former.Remember(ctx, known(3)), qt.IsNil)
-	qt.Assert(t, m.Remember(ctx, known(1)), qt.Equals, rows.ErrConflict)
-	qt.Assert(t, m.Remember(ctx, known(1)), qt.IsNil)
-	u, _, err := m.Recall(ctx)
+	qt.Assert(t, former.Save(ctx, known(3)), qt.IsNil)
+	qt.Assert(t, m.Save(ctx, known(1)), qt.Equals, rows.ErrConflict)
+	qt.Assert(t, m.Save(ctx, known(1)), qt.IsNil)
+	u, _, err := m.Load(ctx)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, u, qt.DeepEquals, known(1))
 }
@@ -86,11 +86,11 @@
 	want := known(1)
 	life := ident.UpstreamLife{ID: "u-0", Born: 3}
 	want.Crashes = []fleet.Crash{
-		{Task: job.TaskID{Job: 7, Step: 1, Index: 2}, VM: "vm", Life: life, Loss: 9, After: 10 * time.Millisecond, Alone: true, Sole: true},
+		{Task: job.TaskID{Job: 7, Step: 1, Index: 2}, VM: "vm", Life: life, Loss: 9, Age: 10 * time.Millisecond, Alone: true, OnlyTask: true},
 		{Task: job.TaskID{Job: 8}, VM: "vm", Life: life, Loss: 9},
 	}
-	qt.Assert(t, memory.New(s, "vm").Remember(ctx, want), qt.IsNil)
-	got, _, err := memory.New(s, "vm").Recall(ctx)
+	qt.Assert(t, snapshot.New(s, "vm").Save(ctx, want), qt.IsNil)
+	got, _, err := snapshot.New(s, "vm").Load(ctx)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, got, qt.DeepEquals, want)
 }
--- a/internal/agent/upstream/cold.go
+++ b/internal/agent/upstream/cold.go
@@ -8,16 +8,16 @@
 const coldPace = 2
 
 // noteCold forgets the pace when the upstream becomes cold, and when it has warmed up: it is another one from then on.
-func (k *Keeper) noteCold(now time.Time) {
+func (k *Controller) updateCold(now time.Time) {
 	if cold := now.Before(k.coldUntil); cold != k.cold {
 		k.cold = cold
 		k.health.ForgetPace()
-		k.touchAll()
+		k.markAllDirty()
 	}
 }
 
 // pace is what entries are told of the upstream's pace; zero is unknown.
-func (k *Keeper) pace() float64 {
+func (k *Controller) pace() float64 {
 	if p := k.health.Pace(); p > 0 || !k.cold {
 		return p
 	}
--- a/internal/agent/upstream/ending.go
+++ b/internal/agent/upstream/ending.go
@@ -26,49 +26,49 @@
 	// Owner is the entry that had ordered the run.
 	Owner ident.Incarnation
 	// Begun is how long ago the run was, or may have been, started.
-	Begun time.Duration
+	StartedAgo time.Duration
 	// Stop is nil for a run that was not asked to stop.
 	Stop *Stop
 	// Next is the entry that has ordered the task anew meanwhile; zero is none.
-	Next ident.Incarnation
+	Successor ident.Incarnation
 	// Unheard: its owner is not linked, and hears of the end when it is back, if at all.
-	Unheard bool
+	OwnerUnlinked bool
 }
 
 // Stop is how a run was stopped.
 type Stop struct {
 	Cause StopCause
 	// Asked is how long ago the upstream was first to stop the run, Answered how long ago it first said that it would.
-	Asked, Answered time.Duration
+	AskedAgo, AnsweredAgo time.Duration
 	// Acked is false if the upstream has never answered; Answered is nothing then.
-	Acked bool
+	IsAnswered bool
 	// Unwanted: the job's caller may have sent it elsewhere, so that the run has to end within Timing.StoppedWithin. Pressing is for how
 	// long that was so.
-	Unwanted bool
-	Pressing time.Duration
+	Unwanted    bool
+	UnwantedFor time.Duration
 }
 
 // ending describes the end of a run.
-func (k *Keeper) ending(now time.Time, r *run, e fleet.End) Ending {
+func (k *Controller) ending(now time.Time, r *run, e fleet.End) Ending {
 	owner := k.sessions[r.owner]
-	out := Ending{End: e, Owner: r.owner, Begun: now.Sub(r.begun), Unheard: owner == nil || !owner.linked}
-	if r.next != nil {
-		out.Next = r.next.owner
+	out := Ending{End: e, Owner: r.owner, StartedAgo: now.Sub(r.startedAt), OwnerUnlinked: owner == nil || !owner.linked}
+	if r.successor != nil {
+		out.Successor = r.successor.owner
 	}
 	if s := r.stop; s != nil {
-		out.Stop = s.told(now)
+		out.Stop = s.summary(now)
 	}
 	return out
 }
 
 // told describes a stop at the end of its run.
-func (s *stopping) told(now time.Time) *Stop {
-	out := &Stop{Cause: s.cause, Asked: now.Sub(s.asked), Acked: !s.acked.IsZero(), Unwanted: s.unwanted}
-	if out.Acked {
-		out.Answered = now.Sub(s.acked)
+func (s *stopState) summary(now time.Time) *Stop {
+	out := &Stop{Cause: s.cause, AskedAgo: now.Sub(s.askedAt), IsAnswered: !s.ackedAt.IsZero(), Unwanted: s.unwanted}
+	if out.IsAnswered {
+		out.AnsweredAgo = now.Sub(s.ackedAt)
 	}
 	if out.Unwanted {
-		out.Pressing = now.Sub(s.since)
+		out.UnwantedFor = now.Sub(s.urgentSince)
 	}
 	return out
 }
--- a/internal/agent/upstream/health_test.go
+++ b/internal/agent/upstream/health_test.go
@@ -14,33 +14,33 @@
 
 // TestFailingUpstreamIsLeftAlone: after three failures in a row the upstream gets one task at a time as a probe,
 // from one entry, and after good probes it takes all again. Failures of jobs that have failed elsewhere don't count.
-func TestFailingUpstreamIsLeftAlone(t *testing.T) {
-	b := newBench(t, nil)
+func TestFailingUpstreamGetsOnlyProbes(t *testing.T) {
+	b := newHarness(t, nil)
 	n := uint64(0)
-	end := func(j job.ID, earlier uint32, how call.How) {
+	end := func(j job.ID, earlier uint32, how call.Result) {
 		from := one
 		if b.rooms[two].State == fleet.Probing {
 			from = two
 		}
-		b.keeper.Order(b.now, from, fleet.Order{Job: j, Each: job.Resources{CPU: 1000}, Tasks: []fleet.TaskRun{{Run: 1, Failures: earlier}}})
-		b.keeper.StartDone(b.now, b.starts[len(b.starts)-1], call.OK, 0)
+		b.manager.Order(b.now, from, fleet.Order{Job: j, Each: job.Resources{CPU: 1000}, Tasks: []fleet.TaskRun{{Run: 1, Failures: earlier}}})
+		b.manager.StartDone(b.now, b.starts[len(b.starts)-1], call.OK, 0)
 		n++
 		b.pass(time.Millisecond)
-		b.keeper.HoldDone(b.now, b.holds[len(b.holds)-1], call.Held{
-			Answer: call.OK, Clock: b.clock(), Finished: []call.Finished{{N: n, Task: job.TaskID{Job: j}, Run: 1, How: how}},
+		b.manager.HoldDone(b.now, b.holds[len(b.holds)-1], call.HoldResult{
+			Answer: call.OK, Clock: b.clock(), Finished: []call.Finished{{Number: n, Task: job.TaskID{Job: j}, Run: 1, Result: how}},
 		})
 		b.pass(50 * time.Millisecond)
 		for _, e := range []ident.Incarnation{one, two} {
-			b.keeper.Ping(b.now, e, b.rooms[e].Clock, 0)
+			b.manager.Ping(b.now, e, b.rooms[e].Clock, 0)
 		}
-		b.keeper.Flush(b.now)
+		b.manager.Flush(b.now)
 	}
 	for i := range 5 {
-		end(job.ID(100+i), 1, call.HowFailed)
+		end(job.ID(100+i), 1, call.ResultFailed)
 	}
 	qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Ready)
 	for i := range 3 {
-		end(job.ID(200+i), 0, call.HowFailed)
+		end(job.ID(200+i), 0, call.ResultFailed)
 	}
 	qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Suspect)
 	qt.Assert(t, b.rooms[two].State, qt.Equals, fleet.Suspect)
@@ -48,9 +48,9 @@
 		for range 4 {
 			b.pass(100 * time.Millisecond)
 			for _, e := range []ident.Incarnation{one, two} {
-				b.keeper.Ping(b.now, e, b.rooms[e].Clock, 0)
+				b.manager.Ping(b.now, e, b.rooms[e].Clock, 0)
 			}
-			b.keeper.Flush(b.now)
+			b.manager.Flush(b.now)
 		}
 		for _, e := range []ident.Incarnation{one, two} {
 			if b.rooms[e].State == fleet.Probing {
@@ -61,7 +61,7 @@
 	}
 	qt.Assert(t, probing(), qt.Equals, 1)
 	for i := range 4 {
-		end(job.ID(300+i), 0, call.HowDone)
+		end(job.ID(300+i), 0, call.ResultDone)
 	}
 	qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Ready)
 	qt.Assert(t, b.rooms[two].State, qt.Equals, fleet.Ready)
@@ -79,14 +79,14 @@
 		{"gets on slowly", func(step int) int { return step }, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			b.order(one, 1)
-			b.keeper.StartDone(b.now, b.starts[0], call.OK, 0)
+			b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
 			for step := range 20 {
 				b.pass(50 * time.Millisecond)
-				b.keeper.Ping(b.now, one, b.rooms[one].Clock, 0)
-				b.look(call.Listed{Task: task, Run: 1, Percent: test.percent(step)})
-				b.keeper.Flush(b.now)
+				b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
+				b.answerHolds(call.Running{Task: task, Run: 1, Percent: test.percent(step)})
+				b.manager.Flush(b.now)
 			}
 			qt.Assert(t, b.stops, qt.HasLen, test.stops)
 		})
@@ -109,14 +109,14 @@
 		{"others unknown", 0, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			b.order(one, 1)
-			b.keeper.StartDone(b.now, b.starts[0], call.OK, 0)
+			b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
 			for i := range 10 {
 				b.pass(50 * time.Millisecond)
-				b.keeper.Ping(b.now, one, b.rooms[one].Clock, test.median)
-				b.look(call.Listed{Task: task, Run: 1, Percent: (i + 1) * test.percent})
-				b.keeper.Flush(b.now)
+				b.manager.Ping(b.now, one, b.rooms[one].Clock, test.median)
+				b.answerHolds(call.Running{Task: task, Run: 1, Percent: (i + 1) * test.percent})
+				b.manager.Flush(b.now)
 			}
 			qt.Assert(t, len(b.progress) > 0, qt.Equals, test.told)
 			if test.told {
@@ -130,19 +130,19 @@
 
 // TestRetriesGrowRare: an upstream that resets every connection is asked often while an answer still saves its runs, and seldom
 // afterwards; once it answers again, that is noticed within a quarter of a second.
-func TestRetriesGrowRare(t *testing.T) {
-	b := newBench(t, nil)
+func TestRetryPauseGrows(t *testing.T) {
+	b := newHarness(t, nil)
 	b.order(one, 1)
-	b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
+	b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
 	fail := func(d time.Duration) int {
 		before := len(b.holds)
 		for until := b.now.Add(d); b.now.Before(until); {
 			for _, c := range b.holds[b.answered:] {
 				b.answered++
-				b.keeper.HoldDone(b.now, c, call.Held{Answer: call.Unanswered})
+				b.manager.HoldDone(b.now, c, call.HoldResult{Answer: call.Unanswered})
 			}
 			b.pass(10 * time.Millisecond)
-			b.keeper.Tick(b.now)
+			b.manager.Tick(b.now)
 		}
 		return len(b.holds) - before
 	}
@@ -152,43 +152,43 @@
 	before := b.now
 	for len(b.holds) == b.answered {
 		b.pass(10 * time.Millisecond)
-		b.keeper.Tick(b.now)
+		b.manager.Tick(b.now)
 	}
 	qt.Assert(t, b.now.Sub(before) <= 260*time.Millisecond, qt.IsTrue)
 }
 
 // TestUndecidedRunIsLookedForWithPauses: while an upstream resets every connection, what became of a start without an answer is asked for a
 // few times, and once it answers the run's fate is decided.
-func TestUndecidedRunIsLookedForWithPauses(t *testing.T) {
-	b := newBench(t, nil)
+func TestUnsureRunIsLookedForWithPauses(t *testing.T) {
+	b := newHarness(t, nil)
 	b.order(one, 1)
-	b.keeper.StartDone(b.now, b.starts[0], call.Unanswered, 0)
+	b.manager.StartDone(b.now, b.starts[0], call.Unanswered, 0)
 	looks := 0
 	for range 200 { // 200 ms
 		for _, c := range b.holds[b.answered:] {
 			b.answered++
-			if c.Look {
+			if c.Poll {
 				looks++
 			}
-			b.keeper.HoldDone(b.now, c, call.Held{Answer: call.Unanswered})
+			b.manager.HoldDone(b.now, c, call.HoldResult{Answer: call.Unanswered})
 		}
 		b.pass(time.Millisecond)
-		b.keeper.Tick(b.now)
+		b.manager.Tick(b.now)
 	}
 	qt.Assert(t, looks >= 3 && looks <= 10, qt.IsTrue, qt.Commentf("%d looks", looks))
-	for b.keeper.Runs() > 0 && looks < 100 {
+	for b.manager.RunCount() > 0 && looks < 100 {
 		looks++
 		b.pass(10 * time.Millisecond)
-		b.keeper.Tick(b.now)
-		b.look()
+		b.manager.Tick(b.now)
+		b.answerHolds()
 	}
-	qt.Assert(t, b.keeper.Runs(), qt.Equals, 0)
+	qt.Assert(t, b.manager.RunCount(), qt.Equals, 0)
 	qt.Assert(t, b.ends[one][0].Outcome, qt.Equals, job.NotStarted)
 }
 
 // TestRefusingUpstreamIsLeftAlone: an upstream that refuses starts, or answers them with errors, gets nothing but probes; answers that
 // are lost say nothing of it.
-func TestRefusingUpstreamIsLeftAlone(t *testing.T) {
+func TestRefusingUpstreamIsSuspected(t *testing.T) {
 	for _, test := range []struct {
 		answer call.Answer
 		want   fleet.State
@@ -198,18 +198,18 @@
 		{call.Unanswered, fleet.Ready},
 	} {
 		t.Run(string(test.answer), func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			for i := range 3 {
 				b.orderOther(job.ID(300 + i))
-				b.keeper.StartDone(b.now, b.starts[len(b.starts)-1], test.answer, 0)
+				b.manager.StartDone(b.now, b.starts[len(b.starts)-1], test.answer, 0)
 				b.pass(time.Millisecond)
-				b.look()
-				b.look()
+				b.answerHolds()
+				b.answerHolds()
 			}
 			b.pass(100 * time.Millisecond)
-			b.keeper.Ping(b.now, one, b.rooms[one].Clock, 0)
-			b.look()
-			b.keeper.Flush(b.now)
+			b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
+			b.answerHolds()
+			b.manager.Flush(b.now)
 			qt.Assert(t, b.starts, qt.HasLen, 3)
 			qt.Assert(t, b.rooms[one].State, qt.Equals, test.want)
 		})
--- a/internal/agent/upstream/hold.go
+++ b/internal/agent/upstream/hold.go
@@ -15,43 +15,43 @@
 // 34 calls are made, where a fixed pause of 30 ms makes 130. A new life's heartbeat is answered by a question at once.
 const (
 	// holdRetry is the shortest pause after a hold that failed, and longestRetry the longest.
-	holdRetry    = 30 * time.Millisecond
-	longestRetry = 250 * time.Millisecond
+	shortestRetry = 30 * time.Millisecond
+	longestRetry  = 250 * time.Millisecond
 	// retryShare of the time since the last answer is the pause in between.
-	retryShare = 8
+	retryPauseDivisor = 8
 )
 
 // retryPause is how long to wait before an upstream is asked again that has given no answer for a while.
 func retryPause(silent time.Duration) time.Duration {
-	return min(max(silent/retryShare, holdRetry), longestRetry)
+	return min(max(silent/retryPauseDivisor, shortestRetry), longestRetry)
 }
 
 // silent is for how long the present life has given no answer.
-func (k *Keeper) silent(now time.Time) time.Duration {
-	if k.began.After(k.answered) {
-		return now.Sub(k.began)
+func (k *Controller) silentFor(now time.Time) time.Duration {
+	if k.lifeBegan.After(k.answeredHoldSentAt) {
+		return now.Sub(k.lifeBegan)
 	}
-	return now.Sub(k.answered)
+	return now.Sub(k.answeredHoldSentAt)
 }
 
 // hold asks the upstream what runs, unless that is under way.
-func (k *Keeper) hold(now time.Time) {
-	if k.holding || !k.known {
+func (k *Controller) callHold(now time.Time) {
+	if k.holding || !k.hasLife {
 		return
 	}
 	k.holding = true
-	c := call.Hold{Header: k.header(now), Seen: k.seen(now), Wait: k.timing.KeepAlive / holdShare}
-	if k.unsure(now) {
+	c := call.Hold{Header: k.header(now), Seen: k.ackedUpTo(now), Wait: k.timing.KeepAlive / holdWaitDivisor}
+	if k.mayHaveRestarted(now) {
 		c.Wait = 0
 		k.caller.Hold(c)
 		return
 	}
 	// A hold without an answer may have been done: one that extended the lease would put off, each time it is
 	// repeated, the moment from which on everything has surely lapsed.
-	if len(k.runs) > 0 && k.failures < unreachableAfter && !k.mustLapse(now) {
-		c.Until = k.lease.Extend(now)
+	if len(k.runs) > 0 && k.failedHolds < unreachableAfter && !k.mustLetLeaseLapse(now) {
+		c.LeaseUntil = k.lease.Extend(now)
 	}
-	if !k.looked {
+	if !k.runsKnown {
 		c.Wait = 0
 	}
 	k.caller.Hold(c)
@@ -59,46 +59,46 @@
 
 // sureFactor times the keep-alive interval is how long after a call that the present life has answered its next life can't be there:
 // 200 ms by default, and crash and start take longer. A hold is answered within a quarter of that, or was lost.
-const sureFactor = 2
+const restartKeepAlives = 2
 
 // unsure tells whether another life under the same id may have begun, which would take calls for its own. Until an answer says
 // which life is there, nothing starts, no end is acknowledged, and no lease extended by the clock of the one before. Where
 // lives are told by ids alone, the id in each call is enough.
-func (k *Keeper) unsure(now time.Time) bool {
-	if k.life.Born == 0 || k.without.Off(rule.LifeBorn) {
+func (k *Controller) mayHaveRestarted(now time.Time) bool {
+	if k.life.Born == 0 || k.without.Has(rule.LifeBorn) {
 		return false
 	}
-	return k.failures > 0 || now.Sub(k.answered) > sureFactor*k.timing.KeepAlive
+	return k.failedHolds > 0 || now.Sub(k.answeredHoldSentAt) > restartKeepAlives*k.timing.KeepAlive
 }
 
 // holdShare: a hold waits for half of the keep-alive interval, so that a run that stands still is seen soon on an
 // upstream where nothing ends.
-const holdShare = 2
+const holdWaitDivisor = 2
 
 // look asks what runs, beside the hold that waits for an end: at once, or while a task is alone, after a short wait at the upstream.
-func (k *Keeper) look(now time.Time) {
-	if k.looking || !k.known || !k.looked {
+func (k *Controller) callLook(now time.Time) {
+	if k.looking || !k.hasLife || !k.runsKnown {
 		return
 	}
 	k.looking = true
-	c := call.Hold{Header: k.header(now), Seen: k.seen(now), Look: true}
+	c := call.Hold{Header: k.header(now), Seen: k.ackedUpTo(now), Poll: true}
 	if k.aloneRun != nil {
-		c.Wait = aloneLook
+		c.Wait = aloneLookWait
 	}
 	k.caller.Hold(c)
 }
 
 // mustLapse tells whether the lease has to lapse: the stop of an unwanted run has gone unanswered for too long, or an
 // end must count for nothing.
-func (k *Keeper) mustLapse(now time.Time) bool {
-	if k.ends.AnyVoid() {
+func (k *Controller) mustLetLeaseLapse(now time.Time) bool {
+	if k.ends.HasVoid() {
 		return true
 	}
-	if k.without.Off(rule.LapseBudget) {
+	if k.without.Has(rule.LapseBudget) {
 		return false
 	}
 	for _, r := range k.runs {
-		acked := r.stop != nil && !r.stop.acked.IsZero()
+		acked := r.stop != nil && !r.stop.ackedAt.IsZero()
 		if !acked && k.unwantedFor(now, r) >= k.timing.StopBudget {
 			return true
 		}
@@ -108,76 +108,76 @@
 
 // unwantedFor is for how long nobody has wanted a run. One of an entry that was not heard again is unwanted since the entry's silence was
 // over, also when time passes late here and its stop was not made yet.
-func (k *Keeper) unwantedFor(now time.Time, r *run) time.Duration {
+func (k *Controller) unwantedFor(now time.Time, r *run) time.Duration {
 	switch {
 	case r.stop != nil && r.stop.unwanted:
-		return now.Sub(r.stop.since)
-	case k.without.Off(rule.StopSilent):
+		return now.Sub(r.stop.urgentSince)
+	case k.without.Has(rule.StopSilent):
 		return 0
 	}
-	return now.Sub(k.silentFrom(k.sessions[r.owner]))
+	return now.Sub(k.silenceDeadline(k.sessions[r.owner]))
 }
 
 // HoldDone handles the answer to a Hold.
-func (k *Keeper) HoldDone(now time.Time, c call.Hold, h call.Held) {
-	if asked := k.lives.Claimed(c.Life()); asked != nil {
-		k.claimAnswered(now, asked, c.Header, h)
+func (k *Controller) HoldDone(now time.Time, c call.Hold, h call.HoldResult) {
+	if asked := k.lives.FindClaim(c.Life()); asked != nil {
+		k.handleClaimAnswer(now, asked, c.Header, h)
 		return
 	}
-	if c.Life() != k.life || !k.known || c.Token < k.fence {
+	if c.Life() != k.life || !k.hasLife || c.Token < k.minToken {
 		return
 	}
-	if h.Answer == call.OK && k.reborn(h.Born) {
-		k.takeUp(now, ident.UpstreamLife{ID: k.life.ID, Born: h.Born}, h.Clock)
+	if h.Answer == call.OK && k.isOtherLife(h.Born) {
+		k.adoptLife(now, ident.UpstreamLife{ID: k.life.ID, Born: h.Born}, h.Clock)
 		return
 	}
 	if h.Answer == call.OK {
-		k.heard(now, c.Sent, c.Wait)
+		k.recordAnswer(now, c.Sent, c.Wait)
 	}
-	if c.Look {
-		k.lookDone(now, c, h)
+	if c.Poll {
+		k.handleLook(now, c, h)
 		return
 	}
 	k.holding = false
 	switch h.Answer {
 	case call.OK:
-		k.holdAnswered(now, c, h)
+		k.handleHoldAnswer(now, c, h)
 	case call.WrongInstance:
-		k.end(now)
-		k.touchAll()
+		k.endLife(now)
+		k.markAllDirty()
 	case call.Fenced:
-		k.lease.Outbid(now, c.Token)
-		k.hold(now)
+		k.lease.RaiseTokenAbove(now, c.Token)
+		k.callHold(now)
 	default:
-		k.holdFailed(now)
+		k.handleHoldFailure(now)
 	}
 }
 
 // holdAnswered takes in the answer to a hold that was done, and makes the next one.
-func (k *Keeper) holdAnswered(now time.Time, c call.Hold, h call.Held) {
-	k.lease.Read(now, h.Clock)
-	news := k.held(now, c, h)
-	if !news && (k.ends.Len() > 0 || now.Before(k.quietUntil)) && now.Sub(c.Sent) < c.Wait/2 {
+func (k *Controller) handleHoldAnswer(now time.Time, c call.Hold, h call.HoldResult) {
+	k.lease.RecordClock(now, h.Clock)
+	news := k.applyListing(now, c, h)
+	if !news && (k.ends.Len() > 0 || now.Before(k.noAckUntil)) && now.Sub(c.Sent) < c.Wait/2 {
 		// The upstream answers at once while it remembers ends.
-		k.holdAt = now.Add(withheldPause)
+		k.nextHoldAt = now.Add(immediateAnswerPause)
 		return
 	}
-	k.hold(now)
+	k.callHold(now)
 }
 
 // holdFailed handles a hold without a usable answer.
-func (k *Keeper) holdFailed(now time.Time) {
-	k.failures++
-	if k.failures < unreachableAfter {
-		k.hold(now)
+func (k *Controller) handleHoldFailure(now time.Time) {
+	k.failedHolds++
+	if k.failedHolds < unreachableAfter {
+		k.callHold(now)
 		return
 	}
-	k.holdAt = now.Add(retryPause(k.silent(now)))
-	k.touchAll()
+	k.nextHoldAt = now.Add(retryPause(k.silentFor(now)))
+	k.markAllDirty()
 }
 
 // withheldPause is the pause between holds that are answered at once: as long as a tick at the most, which ends it.
-const withheldPause = 10 * time.Millisecond
+const immediateAnswerPause = 10 * time.Millisecond
 
 // unreachableAfter is how many holds in a row must go unanswered for the upstream to count as unreachable. Single
 // answers get lost now and then; the first repeat still extends the lease.
@@ -185,22 +185,22 @@
 
 // lookDone handles the answer to a look. One without an answer is repeated while it is needed, after a pause: an upstream that resets
 // every connection answers at once, and would be asked a thousand times a second.
-func (k *Keeper) lookDone(now time.Time, c call.Hold, h call.Held) {
+func (k *Controller) handleLook(now time.Time, c call.Hold, h call.HoldResult) {
 	k.looking = false
 	if h.Answer != call.OK {
-		k.lookAt = now.Add(retryPause(k.silent(now)))
+		k.nextLookAt = now.Add(retryPause(k.silentFor(now)))
 		return
 	}
-	k.lease.Read(now, h.Clock)
-	k.held(now, c, h)
+	k.lease.RecordClock(now, h.Clock)
+	k.applyListing(now, c, h)
 	// An upstream that remembers ends answers at once; then the next tick looks again.
-	if k.undecided() || k.aloneRun != nil && now.Sub(c.Sent) >= c.Wait/2 {
-		k.look(now)
+	if k.hasUnsureRun() || k.aloneRun != nil && now.Sub(c.Sent) >= c.Wait/2 {
+		k.callLook(now)
 	}
 }
 
 // undecided tells whether some run's fate depends on the next answer.
-func (k *Keeper) undecided() bool {
+func (k *Controller) hasUnsureRun() bool {
 	for _, r := range k.runs {
 		if r.phase == unsure {
 			return true
@@ -210,69 +210,69 @@
 }
 
 // seen is the number up to which the upstream may forget ends.
-func (k *Keeper) seen(now time.Time) uint64 {
-	if now.Before(k.quietUntil) || k.unsure(now) {
+func (k *Controller) ackedUpTo(now time.Time) uint64 {
+	if now.Before(k.noAckUntil) || k.mayHaveRestarted(now) {
 		return 0
 	}
-	return k.ends.Seen()
+	return k.ends.AckedUpTo()
 }
 
 // due tells whether a stop is to be sent again.
-func (s *stopping) due(now time.Time) bool {
+func (s *stopState) isDue(now time.Time) bool {
 	pause := stopRetry
-	if !s.acked.IsZero() {
+	if !s.ackedAt.IsZero() {
 		pause = ackedRetry
 	}
-	return !s.calling && now.Sub(s.sent) >= pause
+	return !s.inFlight && now.Sub(s.sentAt) >= pause
 }
 
 // Tick does what time alone brings about.
-func (k *Keeper) Tick(now time.Time) {
-	for _, s := range k.order {
-		if (s.heard || !s.linked) && !k.heardLately(now, s) {
-			k.orphan(now, s.entry, "silent")
+func (k *Controller) Tick(now time.Time) {
+	for _, s := range k.sessionOrder {
+		if (s.hasEchoed || !s.linked) && !k.isHeardRecently(now, s) {
+			k.stopOrphans(now, s.entry, "silent")
 		}
 	}
-	k.noteCold(now)
+	k.updateCold(now)
 	k.reviewPace(now)
 	k.watchAlone(now)
-	if k.known && !k.holding && !now.Before(k.holdAt) {
-		k.hold(now)
+	if k.hasLife && !k.holding && !now.Before(k.nextHoldAt) {
+		k.callHold(now)
 	}
-	if k.undecided() && !now.Before(k.lookAt) {
-		k.look(now)
+	if k.hasUnsureRun() && !now.Before(k.nextLookAt) {
+		k.callLook(now)
 	}
-	if k.failures >= unreachableAfter && len(k.runs) > 0 && k.lease.Lapsed(now) {
-		k.observer.Lapsed(k.lease.Overdue(now))
-		k.lease.Raise(now)
-		k.loseAll(now, fleet.LeaseLapsed)
+	if k.failedHolds >= unreachableAfter && len(k.runs) > 0 && k.lease.Lapsed(now) {
+		k.observer.LeaseLapsed(k.lease.LapsedFor(now))
+		k.lease.RaiseToken(now)
+		k.loseAllRuns(now, fleet.LeaseLapsed)
 	}
-	for _, r := range k.sorted() {
-		if r.stop != nil && r.stop.due(now) {
+	for _, r := range k.sortedRuns() {
+		if r.stop != nil && r.stop.isDue(now) {
 			k.callStop(now, r)
 		}
 	}
 	for _, key := range k.strayKeys() {
-		if k.strays[key].IsZero() && k.known {
+		if k.strays[key].IsZero() && k.hasLife {
 			// The stop before it got no answer yet or none at all; a second one does no harm.
 			k.caller.Stop(call.Stop{Header: k.header(now), Task: key.Task, Run: key.Run})
 		}
 	}
-	if k.departed && k.failures >= unreachableAfter && len(k.runs) == 0 {
-		k.known, k.looked = false, false // if it lives after all, its next heartbeat says so
-		k.touchAll()
+	if k.saidEnded && k.failedHolds >= unreachableAfter && len(k.runs) == 0 {
+		k.hasLife, k.runsKnown = false, false // if it lives after all, its next heartbeat says so
+		k.markAllDirty()
 	}
-	k.askAgain(now)
-	k.ends.Relieve(now)
-	again, to := k.ends.Again(now, k.linkedEntries())
+	k.requeryClaims(now)
+	k.ends.VoidOld(now)
+	again, to := k.ends.DueForResend(now, k.linkedEntries())
 	for i, w := range again {
 		k.entries.End(to[i], w.End)
 	}
-	if k.ends.AnyVoid() && k.lease.Lapsed(now) {
-		k.observer.Lapsed(k.lease.Overdue(now))
-		k.ends.Lapsed()
-		k.touchAll()
+	if k.ends.HasVoid() && k.lease.Lapsed(now) {
+		k.observer.LeaseLapsed(k.lease.LapsedFor(now))
+		k.ends.DropVoid()
+		k.markAllDirty()
 	}
 	k.forgetSessions(now)
-	k.owners.Forget(now)
+	k.owners.Expire(now)
 }
--- a/internal/agent/upstream/idle_test.go
+++ b/internal/agent/upstream/idle_test.go
@@ -30,18 +30,18 @@
 		{"slow and at work", 3 * time.Second, false, 6 * time.Second, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			b.order(one, 1)
-			b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
+			b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
 			for p := 1; p <= 50; p++ {
 				b.pass(test.took / 100)
-				b.look(call.Listed{Task: task, Run: 1, Percent: p})
+				b.answerHolds(call.Running{Task: task, Run: 1, Percent: p})
 			}
 			if test.ends {
 				b.pass(test.took / 2)
 				b.endRun(1, 1)
 			}
-			last := b.rest(test.idle)
+			last := b.idleFor(test.idle)
 			qt.Assert(t, last > test.want-0.01 && last < test.want+0.01, qt.IsTrue, qt.Commentf("%v", last))
 		})
 	}
@@ -49,31 +49,31 @@
 
 // TestIdleUpstreamIsMeasuredAnew: an upstream that is tried again and still slow is slow again with its first run.
 func TestIdleUpstreamIsMeasuredAnew(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	for run := range uint64(2) {
 		b.order(one, job.Run(run+1))
-		b.keeper.StartDone(b.now, b.starts[run], call.OK, b.clock())
+		b.manager.StartDone(b.now, b.starts[run], call.OK, b.clock())
 		b.pass(3 * time.Second)
 		b.endRun(run+1, job.Run(run+1))
-		qt.Assert(t, b.rest(timing.KeepAlive), qt.Equals, 3.0)
-		qt.Assert(t, b.rest(6*time.Second), qt.Equals, 0.0)
+		qt.Assert(t, b.idleFor(timing.KeepAlive), qt.Equals, 3.0)
+		qt.Assert(t, b.idleFor(6*time.Second), qt.Equals, 0.0)
 	}
 }
 
 // endRun lets the upstream list that a run has ended well, as its n-th end.
-func (b *bench) endRun(n uint64, run job.Run) {
-	b.keeper.HoldDone(b.now, b.holds[len(b.holds)-1], call.Held{
-		Answer: call.OK, Clock: b.clock(), Finished: []call.Finished{{N: n, Task: task, Run: run, How: call.HowDone}},
+func (b *harness) endRun(n uint64, run job.Run) {
+	b.manager.HoldDone(b.now, b.holds[len(b.holds)-1], call.HoldResult{
+		Answer: call.OK, Clock: b.clock(), Finished: []call.Finished{{Number: n, Task: task, Run: run, Result: call.ResultDone}},
 	})
 }
 
 // rest lets time pass, and returns the pace that the entry is told last.
-func (b *bench) rest(span time.Duration) float64 {
+func (b *harness) idleFor(span time.Duration) float64 {
 	for until := b.now.Add(span); b.now.Before(until); {
 		b.pass(50 * time.Millisecond)
-		b.keeper.Ping(b.now, one, b.rooms[one].Clock, 1)
-		b.keeper.Tick(b.now)
-		b.keeper.Flush(b.now)
+		b.manager.Ping(b.now, one, b.rooms[one].Clock, 1)
+		b.manager.Tick(b.now)
+		b.manager.Flush(b.now)
 	}
 	return b.rooms[one].Pace
 }
--- a/internal/agent/upstream/kept.go
+++ b/internal/agent/upstream/kept.go
@@ -11,7 +11,7 @@
 )
 
 // question is an entry's question for the ends of jobs that it has taken over.
-type question struct {
+type endsQuery struct {
 	entry  ident.Incarnation
 	epoch  uint64
 	number uint64
@@ -19,56 +19,56 @@
 }
 
 // Noted handles an entry's word on ends of kept jobs: they are stored, or they count for nothing.
-func (k *Keeper) Noted(runs []fleet.RunRef, void bool) { k.ends.Note(runs, void) }
+func (k *Controller) ResolveEnds(runs []fleet.RunRef, void bool) { k.ends.Resolve(runs, void) }
 
 // Ask handles an entry that has taken jobs over: what still runs of them for others is stopped, and once nothing does,
 // the entry is told of all ends that are withheld.
-func (k *Keeper) Ask(now time.Time, entry ident.Incarnation, number uint64, jobs []job.ID) {
+func (k *Controller) QueryEnds(now time.Time, entry ident.Incarnation, number uint64, jobs []job.ID) {
 	s := k.sessions[entry]
 	if s == nil || !s.linked {
 		return
 	}
-	q := question{entry: entry, epoch: s.epoch, number: number, jobs: make(map[job.ID]bool, len(jobs))}
+	q := endsQuery{entry: entry, epoch: s.epoch, number: number, jobs: make(map[job.ID]bool, len(jobs))}
 	for _, j := range jobs {
 		q.jobs[j] = true
 	}
-	k.dropAlone(fleet.Superseded, func(w *waiting) bool { return q.jobs[w.order.Job] && w.owner != entry })
-	for _, r := range k.sorted() {
+	k.dropAlone(fleet.Superseded, func(w *pendingOrder) bool { return q.jobs[w.order.Job] && w.owner != entry })
+	for _, r := range k.sortedRuns() {
 		if !q.jobs[r.task.Job] {
 			continue
 		}
-		if r.next != nil && r.next.owner != entry {
-			k.refuse(*r.next, fleet.Superseded)
-			r.next = nil
+		if r.successor != nil && r.successor.owner != entry {
+			k.refuse(*r.successor, fleet.Superseded)
+			r.successor = nil
 		}
 		if r.owner != entry {
-			k.stopRun(now, r, stopping{outcome: job.Stopped, reason: fleet.Superseded, cause: TakenOver, unwanted: true})
+			k.stopRun(now, r, stopState{outcome: job.Stopped, reason: fleet.Superseded, cause: TakenOver, unwanted: true})
 		}
 	}
-	k.questions = append(k.questions, q)
+	k.endsQueries = append(k.endsQueries, q)
 }
 
 // answerQuestions answers the entries whose jobs have nothing running here any more.
-func (k *Keeper) answerQuestions() {
-	var rest []question
-	for _, q := range k.questions {
+func (k *Controller) answerEndsQueries() {
+	var rest []endsQuery
+	for _, q := range k.endsQueries {
 		s := k.sessions[q.entry]
 		switch {
 		case s == nil || !s.linked || s.epoch != q.epoch:
-		case !k.looked || k.runsFor(q):
+		case !k.runsKnown || k.isQueryBlocked(q):
 			rest = append(rest, q)
 		default:
-			for _, w := range k.ends.Claim(q.jobs, q.entry) {
-				k.tell(q.entry, w.End)
+			for _, w := range k.ends.Reassign(q.jobs, q.entry) {
+				k.sendEnd(q.entry, w.End)
 			}
-			k.entries.Asked(q.entry, q.number)
+			k.entries.EndsSent(q.entry, q.number)
 		}
 	}
-	k.questions = rest
+	k.endsQueries = rest
 }
 
 // runsFor tells whether a run of a question's jobs is, or may be, here for somebody else.
-func (k *Keeper) runsFor(q question) bool {
+func (k *Controller) isQueryBlocked(q endsQuery) bool {
 	for _, r := range k.runs {
 		if q.jobs[r.task.Job] && r.owner != q.entry {
 			return true
@@ -84,8 +84,8 @@
 
 // endedLate handles the listed end of a kept job's run that was given up: its task may have been placed again, so the end
 // must count for nothing.
-func (k *Keeper) endedLate(now time.Time, f call.Finished) {
-	if f.How != call.HowDone && f.How != call.HowFailed || k.without.Off(rule.WithholdEnds) {
+func (k *Controller) withholdLateEnd(now time.Time, f call.Finished) {
+	if f.Result != call.ResultDone && f.Result != call.ResultFailed || k.without.Has(rule.WithholdEnds) {
 		return
 	}
 	k.ends.Withhold(now, 0, fleet.End{Task: f.Task, Run: f.Run, Outcome: job.Lost, Kept: true}).Void()
@@ -93,8 +93,8 @@
 
 // hasEnded tells whether an ordered task of a kept job has ended well here already, for an entry that has gone; then the
 // order is answered with that end. If the task may have started elsewhere since, the end is void instead.
-func (k *Keeper) hasEnded(w waiting) bool {
-	ended := k.ends.Find(w.order.Task(w.index))
+func (k *Controller) answerFromWithheldEnd(w pendingOrder) bool {
+	ended := k.ends.FindDone(w.order.Task(w.index))
 	if ended == nil {
 		return false
 	}
@@ -104,6 +104,6 @@
 		return false
 	}
 	ended.Owner, ended.End.Run, ended.End.ID = w.owner, ordered.Run, ordered.ID
-	k.tell(w.owner, ended.End)
+	k.sendEnd(w.owner, ended.End)
 	return true
 }
--- a/internal/agent/upstream/lease_test.go
+++ b/internal/agent/upstream/lease_test.go
@@ -16,18 +16,18 @@
 // has surely lapsed, the runs are given up, so that they can run elsewhere. Holds that went on extending it put
 // that off for as long as the upstream was mute.
 func TestUnansweredHoldsLetTheLeaseLapse(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.order(one, 1)
-	b.keeper.StartDone(b.now, b.starts[0], call.OK, 0)
+	b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
 	var took time.Duration
-	for took = 0; b.keeper.Runs() > 0 && took < 3*time.Second; took += 10 * time.Millisecond {
+	for took = 0; b.manager.RunCount() > 0 && took < 3*time.Second; took += 10 * time.Millisecond {
 		b.pass(10 * time.Millisecond)
-		b.keeper.Ping(b.now, one, b.rooms[one].Clock, 0)
+		b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
 		if c := b.holds[len(b.holds)-1]; b.now.Sub(c.Sent) >= 250*time.Millisecond {
-			b.keeper.HoldDone(b.now, c, call.Held{Answer: call.Unanswered})
+			b.manager.HoldDone(b.now, c, call.HoldResult{Answer: call.Unanswered})
 		}
-		b.keeper.Tick(b.now)
-		b.keeper.Flush(b.now)
+		b.manager.Tick(b.now)
+		b.manager.Flush(b.now)
 	}
 	qt.Assert(t, took < time.Second, qt.IsTrue, qt.Commentf("took %v", took))
 	qt.Assert(t, b.ends[one][0].Outcome, qt.Equals, job.Lost)
@@ -36,7 +36,7 @@
 
 // TestOldReadingsKeepNothing: what an entry echoes counts from when the agent sent it, and an order of an entry that
 // was not heard lately starts nothing. The random schedules reach this only with slow links, so it stands here.
-func TestOldReadingsKeepNothing(t *testing.T) {
+func TestOldClockEchoesKeepNoRuns(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		without rule.Set
@@ -47,11 +47,11 @@
 		{"orders of silent entries taken", rule.Without(rule.FreshSession), 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, test.without)
+			b := newHarness(t, test.without)
 			old := b.rooms[one].Clock
 			b.pass(timing.Silence + timing.KeepAlive)
-			b.keeper.Flush(b.now)
-			b.keeper.Ping(b.now, one, old+time.Microsecond, 0)
+			b.manager.Flush(b.now)
+			b.manager.Ping(b.now, one, old+time.Microsecond, 0)
 			b.order(one, 1)
 			qt.Assert(t, b.starts, qt.HasLen, test.starts)
 		})
@@ -62,12 +62,15 @@
 // the budget: holds stop extending it. A caller that has gone sends its job to another entry, as one whose entry is
 // lost does; the run of such a job went on for as long as stops were lost (schedule 1077).
 func TestLeasesLapseWhenAStopFails(t *testing.T) {
-	lost := func(b *bench) { b.keeper.Unlinked(b.now, one, "broken"); b.keeper.Gone(b.now, one, "refused") }
-	asked := func(b *bench) { b.keeper.StopTask(b.now, one, ordered(1), fleet.OnRequest) }
+	lost := func(b *harness) {
+		b.manager.EntryUnlinked(b.now, one, "broken")
+		b.manager.EntryGone(b.now, one, "refused")
+	}
+	asked := func(b *harness) { b.manager.StopTask(b.now, one, ordered(1), fleet.OnRequest) }
 	for _, test := range []struct {
 		name    string
 		without rule.Set
-		stop    func(b *bench)
+		stop    func(b *harness)
 		answer  bool
 		extends bool
 	}{
@@ -77,17 +80,17 @@
 		{"left out", rule.Without(rule.LapseBudget), lost, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, test.without)
+			b := newHarness(t, test.without)
 			b.order(one, 1)
-			b.keeper.StartDone(b.now, b.starts[0], call.OK, 0)
+			b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
 			test.stop(b)
 			if test.answer {
-				b.keeper.StopDone(b.now, b.stops[0], call.OK, 0)
+				b.manager.StopDone(b.now, b.stops[0], call.OK, 0)
 			}
 			b.pass(timing.StopBudget)
-			b.keeper.Tick(b.now)
-			b.look(call.Listed{Task: task, Run: 1, Percent: 50})
-			qt.Assert(t, b.holds[len(b.holds)-1].Until > 0, qt.Equals, test.extends)
+			b.manager.Tick(b.now)
+			b.answerHolds(call.Running{Task: task, Run: 1, Percent: 50})
+			qt.Assert(t, b.holds[len(b.holds)-1].LeaseUntil > 0, qt.Equals, test.extends)
 		})
 	}
 }
@@ -101,36 +104,36 @@
 		// every is the pause between two ticks; in between the upstream's answers are taken in.
 		every time.Duration
 		// setOut lets something happen to the run at once.
-		setOut func(b *bench)
+		setOut func(b *harness)
 	}{
-		{"in time", 20 * time.Millisecond, func(*bench) {}},
-		{"a slice late", 90 * time.Millisecond, func(*bench) {}},
-		{"as late as is no standstill", timing.Silence / 2, func(*bench) {}},
-		{"later than the budget", 3 * timing.StopBudget / 2, func(*bench) {}},
-		{"none", time.Hour, func(*bench) {}},
-		{"late, and the run was to move", timing.Silence / 2, func(b *bench) { b.keeper.StopTask(b.now, one, ordered(1), fleet.Moved) }},
-		{"late, and the link broke", timing.Silence / 2, func(b *bench) { b.keeper.Unlinked(b.now, one, "link_down") }},
+		{"in time", 20 * time.Millisecond, func(*harness) {}},
+		{"a slice late", 90 * time.Millisecond, func(*harness) {}},
+		{"as late as is no standstill", timing.Silence / 2, func(*harness) {}},
+		{"later than the budget", 3 * timing.StopBudget / 2, func(*harness) {}},
+		{"none", time.Hour, func(*harness) {}},
+		{"late, and the run was to move", timing.Silence / 2, func(b *harness) { b.manager.StopTask(b.now, one, ordered(1), fleet.Moved) }},
+		{"late, and the link broke", timing.Silence / 2, func(b *harness) { b.manager.EntryUnlinked(b.now, one, "link_down") }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			// Each offset of the ticks, since only some of them are late.
 			for offset := time.Duration(0); offset < min(test.every, timing.Silence); offset += step {
-				b := newBench(t, nil)
+				b := newHarness(t, nil)
 				heard := b.clock()
 				b.order(one, 1)
-				b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
+				b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
 				test.setOut(b)
 				for passed := step; passed < 2*time.Second; passed += step {
 					b.pass(step)
-					b.keeper.Ping(b.now, two, b.rooms[two].Clock, 0)
+					b.manager.Ping(b.now, two, b.rooms[two].Clock, 0)
 					if passed%test.every == offset {
-						b.keeper.Tick(b.now)
+						b.manager.Tick(b.now)
 					}
-					b.look(call.Listed{Task: task, Run: 1, Percent: 50})
-					b.keeper.Flush(b.now)
+					b.answerHolds(call.Running{Task: task, Run: 1, Percent: 50})
+					b.manager.Flush(b.now)
 				}
 				latest := call.Clock(0)
 				for _, c := range b.holds {
-					latest = max(latest, c.Until)
+					latest = max(latest, c.LeaseUntil)
 				}
 				bound := timing.Silence + timing.StopBudget + timing.Lease
 				qt.Assert(t, time.Duration(latest-heard) <= bound, qt.IsTrue,
@@ -156,18 +159,18 @@
 		{"after it, and the stop was answered", timing.StopBudget + 10*time.Millisecond, true, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			b.order(one, 1)
-			b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
+			b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
 			b.starts = nil
-			b.keeper.StopTask(b.now, one, ordered(1), fleet.OnRequest)
+			b.manager.StopTask(b.now, one, ordered(1), fleet.OnRequest)
 			b.orderBeside(two, 1)
 			qt.Assert(t, b.starts, qt.HasLen, 1)
 			if test.answered {
-				b.keeper.StopDone(b.now, b.stops[0], call.OK, b.clock())
+				b.manager.StopDone(b.now, b.stops[0], call.OK, b.clock())
 			}
 			b.pass(test.passed)
-			b.keeper.StartDone(b.now, b.starts[0], call.Fenced, 0)
+			b.manager.StartDone(b.now, b.starts[0], call.Fenced, 0)
 			qt.Assert(t, b.starts, qt.HasLen, test.starts)
 			if test.starts > 1 {
 				return
@@ -184,25 +187,25 @@
 func TestLinkThatIsResetCostsNoRun(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		then    func(b *bench)
+		then    func(b *harness)
 		stops   int
 		resumes int
 	}{
-		{"back soon", func(b *bench) { b.pass(100 * time.Millisecond) }, 0, 1},
-		{"back late", func(b *bench) { b.pass(timing.Silence); b.keeper.Tick(b.now) }, 1, 0},
-		{"back late, and no tick since", func(b *bench) { b.pass(timing.Silence) }, 1, 0},
-		{"ended", func(b *bench) { b.keeper.Gone(b.now, one, "refused") }, 1, 0},
+		{"back soon", func(b *harness) { b.pass(100 * time.Millisecond) }, 0, 1},
+		{"back late", func(b *harness) { b.pass(timing.Silence); b.manager.Tick(b.now) }, 1, 0},
+		{"back late, and no tick since", func(b *harness) { b.pass(timing.Silence) }, 1, 0},
+		{"ended", func(b *harness) { b.manager.EntryGone(b.now, one, "refused") }, 1, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			b.order(one, 1)
-			b.keeper.StartDone(b.now, b.starts[0], call.OK, 0)
-			b.keeper.Unlinked(b.now, one, "link_down")
+			b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
+			b.manager.EntryUnlinked(b.now, one, "link_down")
 			qt.Assert(t, b.stops, qt.HasLen, 0)
 			test.then(b)
-			b.keeper.Linked(b.now, one)
+			b.manager.EntryLinked(b.now, one)
 			qt.Assert(t, b.resumed, qt.HasLen, test.resumes)
-			b.keeper.Tick(b.now)
+			b.manager.Tick(b.now)
 			qt.Assert(t, b.stops, qt.HasLen, test.stops)
 		})
 	}
@@ -220,16 +223,16 @@
 		{"the lease must lapse", timing.StopBudget, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			b.order(one, 1)
-			b.keeper.StartDone(b.now, b.starts[0], call.OK, 0)
-			b.keeper.StopTask(b.now, one, ordered(1), fleet.OnRequest)
+			b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
+			b.manager.StopTask(b.now, one, ordered(1), fleet.OnRequest)
 			b.pass(timing.StopBudget/2 - time.Millisecond)
-			b.look(call.Listed{Task: task, Run: 1, Percent: 50})
+			b.answerHolds(call.Running{Task: task, Run: 1, Percent: 50})
 			b.orderBeside(two, 1)
 			qt.Assert(t, b.starts, qt.HasLen, 2)
 			b.pass(test.waited - timing.StopBudget/2 + time.Millisecond)
-			b.keeper.StartDone(b.now, b.starts[1], call.Fenced, 0)
+			b.manager.StartDone(b.now, b.starts[1], call.Fenced, 0)
 			qt.Assert(t, b.starts, qt.HasLen, test.starts)
 			if test.starts == 2 {
 				qt.Assert(t, b.ends[two], qt.HasLen, 1)
--- a/internal/agent/upstream/life_test.go
+++ b/internal/agent/upstream/life_test.go
@@ -17,15 +17,15 @@
 )
 
 // beat hands the keeper a heartbeat of a life of the upstream.
-func (b *bench) beat(id ident.UpstreamID, sequence uint64) {
-	b.keeper.Beat(b.now, lives.Beat{
+func (b *harness) beat(id ident.UpstreamID, sequence uint64) {
+	b.manager.Heartbeat(b.now, lives.Heartbeat{
 		Upstream: fleet.Upstream{ID: id, Service: "publish", Total: job.Resources{CPU: 2000}}, Sequence: sequence, Clock: call.Clock(time.Second),
 	})
-	b.keeper.Flush(b.now)
+	b.manager.Flush(b.now)
 }
 
 // answer ends the holds that were made of one life; those of others stay unanswered.
-func (b *bench) answer(id ident.UpstreamID, a call.Answer) {
+func (b *harness) answer(id ident.UpstreamID, a call.Answer) {
 	waiting := slices.Clone(b.holds[b.answered:])
 	b.holds = b.holds[:b.answered]
 	for _, c := range waiting {
@@ -33,9 +33,9 @@
 			b.holds = append(b.holds, c)
 			continue
 		}
-		b.keeper.HoldDone(b.now, c, call.Held{Answer: a, Clock: call.Clock(time.Second)})
+		b.manager.HoldDone(b.now, c, call.HoldResult{Answer: a, Clock: call.Clock(time.Second)})
 	}
-	b.keeper.Flush(b.now)
+	b.manager.Flush(b.now)
 }
 
 // TestHeartbeatsOfOtherLives: a heartbeat that was held up on the way arrives after its sender has crashed and the next life
@@ -60,23 +60,23 @@
 		{"an earlier one, believed", rule.Without(rule.ConfirmLife), []call.Answer{call.WrongInstance}, []ident.UpstreamID{"u-1"}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, test.without)
+			b := newHarness(t, test.without)
 			b.order(one, 1)
-			b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
+			b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
 			b.beat("u-other", 1)
 			for _, a := range test.answers {
 				b.answer("u-other", a)
 				b.pass(40 * time.Millisecond)
-				b.keeper.Ping(b.now, one, b.rooms[one].Clock, 0)
-				b.keeper.Tick(b.now)
-				b.keeper.Flush(b.now)
+				b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
+				b.manager.Tick(b.now)
+				b.manager.Flush(b.now)
 			}
 			qt.Assert(t, b.ends[one], qt.HasLen, test.lost)
 			if test.lost > 0 {
 				qt.Assert(t, b.ends[one][0].Reason, qt.Equals, fleet.UpstreamGone)
 			}
 			b.beat("u-1", 2)
-			b.keeper.Order(b.now, one, fleet.Order{
+			b.manager.Order(b.now, one, fleet.Order{
 				Seq: 9, Job: 8, Each: job.Resources{CPU: 1000}, Estimate: time.Second, Tasks: []fleet.TaskRun{{Run: 1}},
 			})
 			var starts []ident.UpstreamID
@@ -90,37 +90,37 @@
 
 // TestLateWordsOfEarlierLives: an earlier life that was the first to be heard, by its heartbeat or by its word that it has
 // ended, does not keep the present one out.
-func TestLateWordsOfEarlierLives(t *testing.T) {
+func TestLateMessagesOfEarlierLives(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		late func(b *bench)
+		late func(b *harness)
 	}{
-		{"it ends after the present one has begun", func(b *bench) { b.keeper.Left(b.now, "u-0") }},
-		{"it ends before anything else is heard", func(b *bench) {
-			b.keeper.Left(b.now, "u-1")
-			b.keeper.Left(b.now, "u-0")
+		{"it ends after the present one has begun", func(b *harness) { b.manager.UpstreamLeft(b.now, "u-0") }},
+		{"it ends before anything else is heard", func(b *harness) {
+			b.manager.UpstreamLeft(b.now, "u-1")
+			b.manager.UpstreamLeft(b.now, "u-0")
 			b.beat("u-2", 1)
-			b.look()
+			b.answerHolds()
 		}},
-		{"its heartbeat comes while none is known", func(b *bench) {
-			b.keeper.Left(b.now, "u-1")
+		{"its heartbeat comes while none is known", func(b *harness) {
+			b.manager.UpstreamLeft(b.now, "u-1")
 			b.beat("u-0", 7)
 			b.beat("u-2", 1)
 			b.answer("u-2", call.OK)
 			b.answer("u-0", call.WrongInstance)
 			b.pass(time.Millisecond)
-			b.keeper.Tick(b.now)
-			b.look()
+			b.manager.Tick(b.now)
+			b.answerHolds()
 		}},
-		{"its heartbeat comes before the present one is recalled", func(b *bench) {
-			b.keeper.Left(b.now, "u-1")
+		{"its heartbeat comes before the present one is recalled", func(b *harness) {
+			b.manager.UpstreamLeft(b.now, "u-1")
 			b.beat("u-0", 7)
-			b.keeper.Recall(b.now, lives.Known{Upstream: fleet.Upstream{ID: "u-2", Service: "publish", Total: job.Resources{CPU: 2000}}})
+			b.manager.Recall(b.now, lives.Snapshot{Upstream: fleet.Upstream{ID: "u-2", Service: "publish", Total: job.Resources{CPU: 2000}}})
 			b.answer("u-2", call.OK)
-			b.look()
+			b.answerHolds()
 			b.beat("u-2", 1) // before it, what was recalled of the room may be out of date
 		}},
-		{"its heartbeat comes again", func(b *bench) {
+		{"its heartbeat comes again", func(b *harness) {
 			b.beat("u-0", 7)
 			b.answer("u-0", call.WrongInstance)
 			asked := len(b.holds)
@@ -129,9 +129,9 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			test.late(b)
-			b.keeper.Ping(b.now, one, b.rooms[one].Clock, 0)
+			b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
 			b.order(one, 1)
 			qt.Assert(t, b.starts, qt.HasLen, 1, qt.Commentf("%v", b.ends[one]))
 		})
@@ -140,7 +140,7 @@
 
 // TestAnswersOfLivesOvertake: the answer of a life that has crashed comes after that of the next one, which was asked as well.
 func TestAnswersOfLivesOvertake(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.pass(time.Millisecond)
 	b.beat("u-2", 1)
 	b.pass(time.Millisecond)
@@ -151,54 +151,54 @@
 	b.pass(time.Millisecond)
 	b.answer("u-2", call.WrongInstance)
 	b.answer("u-3", call.OK)
-	up, known := b.keeper.Known()
+	up, known := b.manager.Snapshot()
 	qt.Assert(t, known, qt.IsTrue)
 	qt.Assert(t, up.ID, qt.Equals, ident.UpstreamID("u-3"))
 	qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Ready)
 }
 
 // beatOf sends a heartbeat of a life of u-1.
-func (b *bench) beatOf(born ident.Born, sequence uint64, draining bool) {
-	b.keeper.Beat(b.now, lives.Beat{
+func (b *harness) beatOf(born ident.Born, sequence uint64, draining bool) {
+	b.manager.Heartbeat(b.now, lives.Heartbeat{
 		Upstream: fleet.Upstream{ID: "u-1", Service: "publish", Total: job.Resources{CPU: 2000}},
 		Born:     born, Sequence: sequence, Clock: call.Clock(time.Second), Draining: draining,
 	})
-	b.keeper.Flush(b.now)
+	b.manager.Flush(b.now)
 }
 
 // answerOf answers the holds that wait, as a life of u-1 does.
-func (b *bench) answerOf(born ident.Born, h call.Held) {
+func (b *harness) answerOf(born ident.Born, h call.HoldResult) {
 	waiting := b.holds[b.answered:]
 	b.answered = len(b.holds)
 	h.Answer, h.Born = call.OK, born
 	for _, c := range waiting {
 		h.Clock = b.clock()
-		b.keeper.HoldDone(b.now, c, h)
+		b.manager.HoldDone(b.now, c, h)
 	}
-	b.keeper.Flush(b.now)
+	b.manager.Flush(b.now)
 }
 
 // newBornBench returns a Keeper of an upstream whose first life, born at 1, has sent nine heartbeats and listed an end.
-func newBornBench(t *testing.T) *bench {
-	b := newBench(t, nil)
-	b.answerOf(1, call.Held{})
+func newBornHarness(t *testing.T) *harness {
+	b := newHarness(t, nil)
+	b.answerOf(1, call.HoldResult{})
 	b.beatOf(1, 9, false)
-	b.answerOf(1, call.Held{})
+	b.answerOf(1, call.HoldResult{})
 	b.order(one, 1)
-	b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
-	b.answerOf(1, call.Held{Finished: []call.Finished{{N: 317, Task: task, Run: 1, How: call.HowDone}}})
+	b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
+	b.answerOf(1, call.HoldResult{Finished: []call.Finished{{Number: 317, Task: task, Run: 1, Result: call.ResultDone}}})
 	b.ends[one] = nil
 	b.pass(time.Millisecond)
 	return b
 }
 
 // orderOther orders a task of another job than those that newBornBench has ended.
-func (b *bench) orderOther(j job.ID) {
+func (b *harness) orderOther(j job.ID) {
 	b.seq++
-	b.keeper.Order(b.now, one, fleet.Order{
+	b.manager.Order(b.now, one, fleet.Order{
 		Seq: b.seq, Job: j, Each: job.Resources{CPU: 1000}, Estimate: time.Second, Tasks: []fleet.TaskRun{{Run: 1}},
 	})
-	b.keeper.Flush(b.now)
+	b.manager.Flush(b.now)
 }
 
 // TestNextLifeUnderTheSameID: what an upstream that starts again says is numbered anew, and nothing that was said of its former life
@@ -206,57 +206,57 @@
 func TestNextLifeUnderTheSameID(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		do   func(b *bench)
+		do   func(b *harness)
 		want fleet.State
 	}{
-		{"its heartbeat alone proves nothing", func(b *bench) { b.beatOf(2, 1, true) }, fleet.Ready},
-		{"it leaves", func(b *bench) {
-			b.answerOf(2, call.Held{})
+		{"its heartbeat alone proves nothing", func(b *harness) { b.beatOf(2, 1, true) }, fleet.Ready},
+		{"it leaves", func(b *harness) {
+			b.answerOf(2, call.HoldResult{})
 			b.beatOf(2, 1, false)
-			b.answerOf(2, call.Held{})
+			b.answerOf(2, call.HoldResult{})
 			b.beatOf(2, 2, true)
 		}, fleet.Leaving},
-		{"its first heartbeat, which says that it leaves, comes before its first answer", func(b *bench) {
+		{"its first heartbeat, which says that it leaves, comes before its first answer", func(b *harness) {
 			b.beatOf(2, 1, true)
-			b.answerOf(2, call.Held{})
+			b.answerOf(2, call.HoldResult{})
 		}, fleet.Leaving},
-		{"its heartbeats overtake each other", func(b *bench) {
-			b.answerOf(2, call.Held{})
+		{"its heartbeats overtake each other", func(b *harness) {
+			b.answerOf(2, call.HoldResult{})
 			b.beatOf(2, 4, false)
 			b.beatOf(2, 3, true)
 		}, fleet.Leaving},
-		{"it may be of another kind until its heartbeat comes", func(b *bench) { b.answerOf(2, call.Held{}) }, fleet.Clearing},
-		{"the former one left", func(b *bench) {
+		{"it may be of another kind until its heartbeat comes", func(b *harness) { b.answerOf(2, call.HoldResult{}) }, fleet.Clearing},
+		{"the former one left", func(b *harness) {
 			b.beatOf(1, 10, true)
-			b.answerOf(2, call.Held{})
+			b.answerOf(2, call.HoldResult{})
 			b.beatOf(2, 1, false)
-			b.answerOf(2, call.Held{})
+			b.answerOf(2, call.HoldResult{})
 		}, fleet.Ready},
-		{"the former one's leaving comes late", func(b *bench) {
-			b.answerOf(2, call.Held{})
+		{"the former one's leaving comes late", func(b *harness) {
+			b.answerOf(2, call.HoldResult{})
 			b.beatOf(2, 1, false)
-			b.answerOf(2, call.Held{})
+			b.answerOf(2, call.HoldResult{})
 			b.beatOf(1, 10, true)
-			b.answerOf(2, call.Held{})
+			b.answerOf(2, call.HoldResult{})
 		}, fleet.Ready},
-		{"a word that it has ended stops new work", func(b *bench) { b.keeper.Left(b.now, "u-1") }, fleet.Leaving},
-		{"that word was a former life's", func(b *bench) {
-			b.keeper.Left(b.now, "u-1")
-			b.answerOf(1, call.Held{})
+		{"a word that it has ended stops new work", func(b *harness) { b.manager.UpstreamLeft(b.now, "u-1") }, fleet.Leaving},
+		{"that word was a former life's", func(b *harness) {
+			b.manager.UpstreamLeft(b.now, "u-1")
+			b.answerOf(1, call.HoldResult{})
 			b.beatOf(1, 10, false)
 		}, fleet.Ready},
-		{"a heartbeat that doesn't say whose it is changes nothing", func(b *bench) {
+		{"a heartbeat that doesn't say whose it is changes nothing", func(b *harness) {
 			b.beatOf(0, 20, true)
-			b.answerOf(1, call.Held{})
+			b.answerOf(1, call.HoldResult{})
 		}, fleet.Ready},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBornBench(t)
+			b := newBornHarness(t)
 			test.do(b)
 			b.pass(100 * time.Millisecond) // news of room are due
-			b.keeper.Ping(b.now, one, b.rooms[one].Clock, 0)
-			b.keeper.Tick(b.now)
-			b.keeper.Flush(b.now)
+			b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
+			b.manager.Tick(b.now)
+			b.manager.Flush(b.now)
 			qt.Assert(t, b.rooms[one].State, qt.Equals, test.want)
 			b.orderOther(60)
 			accepted := len(b.starts) == 2
@@ -268,17 +268,17 @@
 // TestHoldsWhileUnsure: while another life under the same id may have begun, a hold acknowledges no end and extends no lease; and a
 // new life's first hold does neither.
 func TestHoldsWhileUnsure(t *testing.T) {
-	b := newBornBench(t)
+	b := newBornHarness(t)
 	b.orderOther(61)
-	b.answerOf(1, call.Held{})
+	b.answerOf(1, call.HoldResult{})
 	last := b.holds[len(b.holds)-1]
 	qt.Assert(t, last.Seen, qt.Equals, uint64(317))
-	qt.Assert(t, last.Until > 0, qt.IsTrue)
-	b.keeper.HoldDone(b.now, last, call.Held{Answer: call.Unanswered})
+	qt.Assert(t, last.LeaseUntil > 0, qt.IsTrue)
+	b.manager.HoldDone(b.now, last, call.HoldResult{Answer: call.Unanswered})
 	bare := b.holds[len(b.holds)-1]
 	qt.Assert(t, bare.Seen, qt.Equals, uint64(0))
-	qt.Assert(t, bare.Until, qt.Equals, call.Clock(0))
-	b.keeper.HoldDone(b.now, bare, call.Held{Answer: call.OK, Born: 2, Clock: call.Clock(time.Hour)})
+	qt.Assert(t, bare.LeaseUntil, qt.Equals, call.Clock(0))
+	b.manager.HoldDone(b.now, bare, call.HoldResult{Answer: call.OK, Born: 2, Clock: call.Clock(time.Hour)})
 	first := b.holds[len(b.holds)-1]
 	qt.Assert(t, first.Born, qt.Equals, ident.Born(2))
 	qt.Assert(t, first.Seen, qt.Equals, uint64(0))
@@ -288,11 +288,11 @@
 // TestRunsAcrossLives: a start that was sent before the next life under the same id was noticed may have reached either. It counts as
 // there, and takes room, until the new life has listed what runs; one that the former life has listed is lost at once.
 func TestRunsAcrossLives(t *testing.T) {
-	listed := []call.Listed{{Task: job.TaskID{Job: 62}, Run: 1, Percent: 3}}
+	listed := []call.Running{{Task: job.TaskID{Job: 62}, Run: 1, Percent: 3}}
 	for _, test := range []struct {
 		name string
 		// before is listed by the former life, after by the new one, ended its list of ends.
-		before, after []call.Listed
+		before, after []call.Running
 		ended         []call.Finished
 		outcome       job.Outcome
 		reason        fleet.Reason
@@ -300,24 +300,24 @@
 		{"listed by the former", listed, nil, nil, job.Lost, fleet.UpstreamGone},
 		{"listed by the new one", nil, listed, nil, "", ""},
 		{"listed by neither", nil, nil, nil, job.Lost, fleet.UpstreamGone},
-		{"done at the new one", nil, nil, []call.Finished{{N: 1, Task: job.TaskID{Job: 62}, Run: 1, How: call.HowDone}}, job.Done, ""},
+		{"done at the new one", nil, nil, []call.Finished{{Number: 1, Task: job.TaskID{Job: 62}, Run: 1, Result: call.ResultDone}}, job.Done, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBornBench(t)
+			b := newBornHarness(t)
 			b.orderOther(62)
-			b.keeper.StartDone(b.now, b.starts[1], call.OK, b.clock())
+			b.manager.StartDone(b.now, b.starts[1], call.OK, b.clock())
 			b.pass(time.Millisecond)
 			if test.before != nil {
-				b.answerOf(1, call.Held{Running: test.before})
+				b.answerOf(1, call.HoldResult{Running: test.before})
 			}
 			b.pass(time.Millisecond)
-			b.answerOf(2, call.Held{})
+			b.answerOf(2, call.HoldResult{})
 			qt.Assert(t, len(b.ends[one]) > 0, qt.Equals, test.before != nil)
 			b.pass(time.Millisecond)
-			b.answerOf(2, call.Held{Running: test.after, Finished: test.ended})
+			b.answerOf(2, call.HoldResult{Running: test.after, Finished: test.ended})
 			if test.outcome == "" {
 				qt.Assert(t, b.ends[one], qt.HasLen, 0)
-				qt.Assert(t, b.keeper.Runs(), qt.Equals, 1)
+				qt.Assert(t, b.manager.RunCount(), qt.Equals, 1)
 				return
 			}
 			qt.Assert(t, b.ends[one], qt.HasLen, 1)
@@ -331,11 +331,11 @@
 // higher one in a few dozen calls.
 func TestForeignTokensAreOutbid(t *testing.T) {
 	for _, seen := range []call.Token{1, 1 << 20, 1 << 41, 1 << 52} {
-		b := newBench(t, nil)
+		b := newHarness(t, nil)
 		calls := 0
 		for ; b.holds[len(b.holds)-1].Token < seen; calls++ {
 			c := b.holds[len(b.holds)-1]
-			b.keeper.HoldDone(b.now, c, call.Held{Answer: call.Fenced, Clock: b.clock()})
+			b.manager.HoldDone(b.now, c, call.HoldResult{Answer: call.Fenced, Clock: b.clock()})
 		}
 		qt.Assert(t, calls < 60, qt.IsTrue, qt.Commentf("%d calls to outbid %d", calls, seen))
 	}
@@ -344,20 +344,20 @@
 // TestLeavingIsRecalled: that an upstream leaves is known to its agent's next process, though a heartbeat of before, held up on the
 // way, comes first.
 func TestLeavingIsRecalled(t *testing.T) {
-	b := newBornBench(t)
+	b := newBornHarness(t)
 	b.beatOf(1, 10, true)
-	known, ok := b.keeper.Known()
+	known, ok := b.manager.Snapshot()
 	qt.Assert(t, ok, qt.IsTrue)
 	for _, beatFirst := range []bool{false, true} {
-		next := &bench{t: t, now: b.now, ends: make(map[ident.Incarnation][]fleet.End), rooms: make(map[ident.Incarnation]fleet.Room)}
-		next.keeper = upstream.New(timing, nil, next.now, next, next, next)
+		next := &harness{t: t, now: b.now, ends: make(map[ident.Incarnation][]fleet.End), rooms: make(map[ident.Incarnation]fleet.Room)}
+		next.manager = upstream.New(timing, nil, next.now, next, next, next)
 		if beatFirst {
 			next.beatOf(1, 9, false)
 		}
-		next.keeper.Recall(next.now, known)
-		next.answerOf(1, call.Held{})
-		next.keeper.Linked(next.now, one)
-		next.keeper.Flush(next.now)
+		next.manager.Recall(next.now, known)
+		next.answerOf(1, call.HoldResult{})
+		next.manager.EntryLinked(next.now, one)
+		next.manager.Flush(next.now)
 		qt.Assert(t, next.rooms[one].State, qt.Equals, fleet.Leaving)
 	}
 }
@@ -378,25 +378,25 @@
 		{"another one stands there", call.WrongInstance, 0, 20 * time.Millisecond, fleet.UpstreamGone},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newHarness(t, nil)
 			b.order(one, 1)
-			b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
-			b.look(call.Listed{Task: task, Run: 1, Percent: 1})
-			b.keeper.Left(b.now, "u-1")
-			b.keeper.Flush(b.now)
+			b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
+			b.answerHolds(call.Running{Task: task, Run: 1, Percent: 1})
+			b.manager.UpstreamLeft(b.now, "u-1")
+			b.manager.Flush(b.now)
 			qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Leaving)
 			qt.Assert(t, b.ends[one], qt.HasLen, 0)
 			var took time.Duration
 			for ; took < time.Second && len(b.ends[one]) == 0; took += 10 * time.Millisecond {
 				b.pass(10 * time.Millisecond)
-				b.keeper.Ping(b.now, one, b.rooms[one].Clock, 0)
+				b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
 				if test.answer == call.OK {
-					b.look(call.Listed{Task: task, Run: 1, Percent: int(took / (10 * time.Millisecond))})
+					b.answerHolds(call.Running{Task: task, Run: 1, Percent: int(took / (10 * time.Millisecond))})
 				} else {
 					b.answer("u-1", test.answer)
 				}
-				b.keeper.Tick(b.now)
-				b.keeper.Flush(b.now)
+				b.manager.Tick(b.now)
+				b.manager.Flush(b.now)
 			}
 			if test.reason == "" {
 				qt.Assert(t, b.ends[one], qt.HasLen, 0)
--- a/internal/agent/upstream/listed.go
+++ b/internal/agent/upstream/listed.go
@@ -17,106 +17,106 @@
 )
 
 // held takes in what the upstream lists, and tells whether an end is new.
-func (k *Keeper) held(now time.Time, c call.Hold, h call.Held) (news bool) {
-	if k.failures > 0 || !k.looked {
-		k.touchAll()
-	}
-	k.failures = 0
-	if c.Sent.After(k.answered) {
-		k.answered = c.Sent
-	}
-	if !k.looked {
-		k.first(h)
-		if k.shared {
-			k.lease.Mislead(now) // from this answer on, calls to the former life are refused
+func (k *Controller) applyListing(now time.Time, c call.Hold, h call.HoldResult) (news bool) {
+	if k.failedHolds > 0 || !k.runsKnown {
+		k.markAllDirty()
+	}
+	k.failedHolds = 0
+	if c.Sent.After(k.answeredHoldSentAt) {
+		k.answeredHoldSentAt = c.Sent
+	}
+	if !k.runsKnown {
+		k.inspectFirstListing(h)
+		if k.sharedID {
+			k.lease.AssumeForeignExtension(now) // from this answer on, calls to the former life are refused
 		}
 	}
-	news = k.takeEnds(now, h.Finished)
-	if h.Clock < k.listed {
+	news = k.applyEnds(now, h.Finished)
+	if h.Clock < k.listedClock {
 		// A newer answer has come before this one, and what it lists as running may have ended.
-		k.observer.Overtaken()
+		k.observer.ListingOvertaken()
 		return news
 	}
 	if len(h.Finished) >= ends.ListLimit {
 		// Ends may be missing.
 		return news
 	}
-	k.listed = h.Clock
-	k.takeRunning(now, c, h.Running)
-	k.looked = true
-	k.tellSlow(now)
+	k.listedClock = h.Clock
+	k.applyRunning(now, c, h.Running)
+	k.runsKnown = true
+	k.sendProgress(now)
 	return news
 }
 
 // takeEnds takes in the listed ends, and tells whether one is new.
-func (k *Keeper) takeEnds(now time.Time, finished []call.Finished) (news bool) {
+func (k *Controller) applyEnds(now time.Time, finished []call.Finished) (news bool) {
 	for _, f := range finished {
-		if k.ends.Take(f) {
+		if k.ends.Record(f) {
 			news = true
-			k.ended(now, f)
+			k.handleEnd(now, f)
 		}
 	}
 	return news
 }
 
 // takeRunning takes in what the upstream lists as running, and what it does not.
-func (k *Keeper) takeRunning(now time.Time, c call.Hold, running []call.Listed) {
-	listed := make(map[job.TaskID]call.Listed, len(running))
+func (k *Controller) applyRunning(now time.Time, c call.Hold, running []call.Running) {
+	listed := make(map[job.TaskID]call.Running, len(running))
 	for _, l := range running {
 		listed[l.Task] = l
-		k.progress(now, c, l)
+		k.handleListedRun(now, c, l)
 	}
 	isListed := func(r fleet.RunRef) bool {
 		l, ok := listed[r.Task]
 		return ok && l.Run == r.Run
 	}
-	for _, r := range k.sorted() {
-		if !isListed(r.ref()) && r.phase != starting && c.Sent.After(r.sure) {
-			k.absent(now, r)
+	for _, r := range k.sortedRuns() {
+		if !isListed(r.ref()) && r.phase != starting && c.Sent.After(r.provableFrom) {
+			k.finishAbsent(now, r)
 		}
 	}
 	for key, at := range k.strays {
 		if !isListed(key) && !at.IsZero() && c.Sent.After(at) {
-			k.strayGone(key)
-			k.touchAll()
+			k.forgetStray(key)
+			k.markAllDirty()
 		}
 	}
 }
 
 // first takes in what an earlier agent has left at the upstream. Ends of kept jobs may be among it, which their entries
 // have not stored; once the earlier agent's lease has lapsed, they count for nothing, and the upstream may forget them.
-func (k *Keeper) first(h call.Held) {
+func (k *Controller) inspectFirstListing(h call.HoldResult) {
 	last := len(h.Finished) - 1
-	lapsed := len(h.Running) == 0 && (last < 0 || h.Finished[last].How == call.HowLapsed)
-	if !lapsed && !k.without.Off(rule.AckAfterLapse) {
+	lapsed := len(h.Running) == 0 && (last < 0 || h.Finished[last].Result == call.ResultLapsed)
+	if !lapsed && !k.without.Has(rule.AckAfterLapse) {
 		longest := k.timing.Lease
 		if k.life.Born != 0 {
-			longest = time.Duration(lease.Longest) // the earlier agent may have extended it by the clock of a former life
+			longest = time.Duration(lease.MaxLength) // the earlier agent may have extended it by the clock of a former life
 		}
-		k.quietUntil = k.start.Add(fleet.LeaseBound(longest) + lease.Margin)
+		k.noAckUntil = k.start.Add(fleet.LeaseBound(longest) + lease.KillMargin)
 	}
 }
 
 // ended handles one listed end.
-func (k *Keeper) ended(now time.Time, f call.Finished) {
+func (k *Controller) handleEnd(now time.Time, f call.Finished) {
 	key := fleet.RunRef{Task: f.Task, Run: f.Run}
-	k.strayGone(key)
-	if k.given[key] {
-		delete(k.given, key)
-		k.endedLate(now, f)
+	k.forgetStray(key)
+	if k.finishedUnlisted[key] {
+		delete(k.finishedUnlisted, key)
+		k.withholdLateEnd(now, f)
 		return
 	}
 	r := k.runs[f.Task]
 	if r == nil || r.number != f.Run {
 		return
 	}
-	defer delete(k.given, key) // its end is listed
-	switch f.How {
-	case call.HowDone:
+	defer delete(k.finishedUnlisted, key) // its end is listed
+	switch f.Result {
+	case call.ResultDone:
 		k.finish(now, r, job.Done, "", f.Checkpoint)
-	case call.HowFailed:
+	case call.ResultFailed:
 		k.finish(now, r, job.Failed, "", f.Checkpoint)
-	case call.HowStopped:
+	case call.ResultStopped:
 		if r.stop != nil {
 			k.finish(now, r, r.stop.outcome, r.stop.reason, f.Checkpoint)
 			return
@@ -128,11 +128,11 @@
 }
 
 // absent handles a run that is surely not at the upstream, though no end was listed.
-func (k *Keeper) absent(now time.Time, r *run) {
+func (k *Controller) finishAbsent(now time.Time, r *run) {
 	switch {
 	case r.stop != nil:
 		k.finish(now, r, r.stop.outcome, r.stop.reason, "")
-	case r.carried:
+	case r.fromFormerLife:
 		k.finish(now, r, job.Lost, fleet.UpstreamGone, "")
 	case r.phase == unsure:
 		k.finish(now, r, job.NotStarted, fleet.NeverArrived, "")
@@ -142,53 +142,53 @@
 }
 
 // progress handles one run that the upstream lists as running.
-func (k *Keeper) progress(now time.Time, c call.Hold, l call.Listed) {
+func (k *Controller) handleListedRun(now time.Time, c call.Hold, l call.Running) {
 	r := k.runs[l.Task]
 	if r == nil || r.number != l.Run {
-		k.stray(now, l)
+		k.stopStray(now, l)
 		return
 	}
-	r.listed, r.carried = true, false
-	if r.phase != running && (r.phase == unsure || c.Sent.After(r.begun)) {
-		r.phase, r.sure = running, now
+	r.listed, r.fromFormerLife = true, false
+	if r.phase != running && (r.phase == unsure || c.Sent.After(r.startedAt)) {
+		r.phase, r.provableFrom = running, now
 	}
 	if l.Percent > r.percent {
-		k.advance(now, r, l.Percent)
+		k.recordProgress(now, r, l.Percent)
 	}
 	if r.stop == nil && stalled(now, r) {
-		k.stopRun(now, r, stopping{outcome: job.Stalled, reason: fleet.NoProgress, cause: NoProgress})
+		k.stopRun(now, r, stopState{outcome: job.Stalled, reason: fleet.NoProgress, cause: NoProgress})
 	}
 }
 
 // stalled tells whether a run has made no progress for too long.
 func stalled(now time.Time, r *run) bool {
-	return r.phase == running && r.percent < 100 && health.Stalled(now.Sub(r.advanced), r.estimate)
+	return r.phase == running && r.percent < 100 && health.IsStalled(now.Sub(r.progressAt), r.estimate)
 }
 
 // advance notes that a run has got on.
-func (k *Keeper) advance(now time.Time, r *run, percent int) {
-	k.health.Progress(now.Sub(r.advanced), r.estimate*time.Duration(percent-r.percent)/100)
-	r.percent, r.advanced = percent, now
+func (k *Controller) recordProgress(now time.Time, r *run, percent int) {
+	k.health.RecordProgress(now.Sub(r.progressAt), r.estimate*time.Duration(percent-r.percent)/100)
+	r.percent, r.progressAt = percent, now
 }
 
 // slowEvery is the pause between two tellings of how runs on a slow upstream get on.
-const slowEvery = 50 * time.Millisecond
+const progressInterval = 50 * time.Millisecond
 
 // tellSlow tells entries how long their runs will still take, while the upstream is slow beside others.
-func (k *Keeper) tellSlow(now time.Time) {
-	if !k.health.Slow(k.median) || now.Sub(k.slowTold) < slowEvery {
+func (k *Controller) sendProgress(now time.Time) {
+	if !k.health.IsSlow(k.medianPace) || now.Sub(k.progressSentAt) < progressInterval {
 		return
 	}
-	k.slowTold = now
+	k.progressSentAt = now
 	byOwner := make(map[ident.Incarnation][]fleet.Progress)
-	for _, r := range k.sorted() {
+	for _, r := range k.sortedRuns() {
 		if r.phase != running || r.stop != nil {
 			continue
 		}
 		left := time.Duration(float64(r.estimate) * float64(100-r.percent) / 100 * k.health.Pace())
 		byOwner[r.owner] = append(byOwner[r.owner], fleet.Progress{OrderedRun: r.ordered(), Left: left})
 	}
-	for _, s := range k.order {
+	for _, s := range k.sessionOrder {
 		if runs := byOwner[s.entry]; s.linked && len(runs) > 0 {
 			k.entries.Progress(s.entry, runs)
 		}
@@ -196,31 +196,31 @@
 }
 
 // stray stops a run that nobody here has ordered: one of an earlier agent, or a start that came late.
-func (k *Keeper) stray(now time.Time, l call.Listed) {
+func (k *Controller) stopStray(now time.Time, l call.Running) {
 	key := fleet.RunRef{Task: l.Task, Run: l.Run}
 	at, known := k.strays[key]
 	switch {
 	case !known:
-		k.observer.Stray(key, StrayFound)
+		k.observer.StrayChanged(key, StrayFound)
 	case at.IsZero() || now.Sub(at) < stopRetry:
 		return
 	}
 	k.strays[key] = time.Time{}
 	k.caller.Stop(call.Stop{Header: k.header(now), Task: l.Task, Run: l.Run})
-	k.touchAll()
+	k.markAllDirty()
 }
 
 // strayGone forgets a stray, if the run is one.
-func (k *Keeper) strayGone(key fleet.RunRef) {
+func (k *Controller) forgetStray(key fleet.RunRef) {
 	if _, ok := k.strays[key]; !ok {
 		return
 	}
 	delete(k.strays, key)
-	k.observer.Stray(key, StrayGone)
+	k.observer.StrayChanged(key, StrayGone)
 }
 
 // strayKeys lists the strays in a fixed order.
-func (k *Keeper) strayKeys() []fleet.RunRef {
+func (k *Controller) strayKeys() []fleet.RunRef {
 	return slices.SortedFunc(maps.Keys(k.strays), func(a, b fleet.RunRef) int {
 		return cmp.Or(a.Task.Compare(b.Task), cmp.Compare(a.Run, b.Run))
 	})
--- a/internal/agent/upstream/room.go
+++ b/internal/agent/upstream/room.go
@@ -17,14 +17,14 @@
 // are asked for more than fits, one after the other costs 23,000 instead of 34,000 news and 8,200 instead of 10,500 orders a
 // second, and 37% fewer orders find the room taken, at the same service (hillreel load).
 const (
-	newsLeast = 10 * time.Millisecond
-	newsEach  = 3 * time.Millisecond
+	roomInterval = 10 * time.Millisecond
+	roomSpacing  = 3 * time.Millisecond
 )
 
 // linkedEntries lists the entries that are linked, from the oldest link on.
-func (k *Keeper) linkedEntries() []ident.Incarnation {
+func (k *Controller) linkedEntries() []ident.Incarnation {
 	var out []ident.Incarnation
-	for _, s := range k.order {
+	for _, s := range k.sessionOrder {
 		if s.linked {
 			out = append(out, s.entry)
 		}
@@ -33,104 +33,104 @@
 }
 
 // free returns the room that nothing has, or may have, taken.
-func (k *Keeper) free() job.Resources {
-	free := k.up.Total
+func (k *Controller) free() job.Resources {
+	free := k.info.Total
 	for _, r := range k.runs {
-		if k.without.Off(rule.CountStopping) && (r.stop != nil || r.phase == unsure) {
+		if k.without.Has(rule.CountStopping) && (r.stop != nil || r.phase == unsure) {
 			continue
 		}
-		free = free.Sub(r.each)
+		free = free.Sub(r.resources)
 	}
 	return free
 }
 
 // state returns the upstream's state as it is for all entries, and what decided it.
-func (k *Keeper) state(now time.Time) (fleet.State, string) {
-	return condition.Of(condition.Facts{
-		AgentLeaves:     k.leaving,
+func (k *Controller) state(now time.Time) (fleet.State, string) {
+	return condition.Evaluate(condition.Facts{
+		AgentLeaving:    k.leaving,
 		Draining:        k.draining,
-		Ended:           k.departed,
-		Described:       k.known && k.described,
-		RoomHeard:       k.roomHeard || k.without.Off(rule.RoomHeard),
-		Listed:          k.looked || k.without.Off(rule.LookFirst),
-		EarlierLease:    now.Before(k.quietUntil),
-		Silent:          k.failures >= unreachableAfter,
-		Overdue:         k.unsure(now),
-		UnknownRuns:     len(k.strays) > 0 && !k.without.Off(rule.LookFirst),
-		StopUnconfirmed: k.mustLapse(now),
-		CordonsUnknown:  k.zone == ZoneUnknown && !k.without.Off(rule.CordonKnown),
+		SaidEnded:       k.saidEnded,
+		Described:       k.hasLife && k.described,
+		RoomReported:    k.roomReported || k.without.Has(rule.RoomHeard),
+		Listed:          k.runsKnown || k.without.Has(rule.LookFirst),
+		EarlierLease:    now.Before(k.noAckUntil),
+		Silent:          k.failedHolds >= unreachableAfter,
+		AnswerOverdue:   k.mayHaveRestarted(now),
+		UnknownRuns:     len(k.strays) > 0 && !k.without.Has(rule.LookFirst),
+		StopUnconfirmed: k.mustLetLeaseLapse(now),
+		CordonsUnknown:  k.zone == ZoneUnknown && !k.without.Has(rule.CordonKnown),
 		EndsNotStored:   k.ends.Full(len(k.runs)),
-		Cordoned:        k.cordoned(),
-		Failing:         k.health.Suspect(),
+		Cordoned:        k.isCordoned(),
+		Failing:         k.health.IsSuspect(),
 	})
 }
 
 // stateFor returns the state that one entry is told.
-func (k *Keeper) stateFor(now time.Time, entry ident.Incarnation) fleet.State {
+func (k *Controller) stateFor(now time.Time, entry ident.Incarnation) fleet.State {
 	state, _ := k.state(now)
-	return k.shown(now, state, entry)
+	return k.stateShownTo(now, state, entry)
 }
 
 // shown is the state that one entry is told while the upstream is in a state.
-func (k *Keeper) shown(now time.Time, state fleet.State, entry ident.Incarnation) fleet.State {
-	if state == fleet.Suspect && k.prober(now) == entry {
+func (k *Controller) stateShownTo(now time.Time, state fleet.State, entry ident.Incarnation) fleet.State {
+	if state == fleet.Suspect && k.selectProber(now) == entry {
 		return fleet.Probing
 	}
 	return state
 }
 
 // prober returns the entry that may send the next task to a suspect upstream, or zero.
-func (k *Keeper) prober(now time.Time) ident.Incarnation {
+func (k *Controller) selectProber(now time.Time) ident.Incarnation {
 	linked := k.linkedEntries()
-	if len(k.runs) > 0 || len(linked) == 0 || !k.health.ProbeDue(now) {
+	if len(k.runs) > 0 || len(linked) == 0 || !k.health.IsProbeDue(now) {
 		return 0
 	}
 	slices.Sort(linked)
-	return k.health.Prober(now, linked)
+	return k.health.SelectProber(now, linked)
 }
 
 // touchAll makes the next Flush tell all entries.
-func (k *Keeper) touchAll() {
-	if !slices.ContainsFunc(k.order, func(s *session) bool { return s.dirty }) {
-		k.turn++ // else the same entry would always be the first to hear
+func (k *Controller) markAllDirty() {
+	if !slices.ContainsFunc(k.sessionOrder, func(s *session) bool { return s.dirty }) {
+		k.roomTurn++ // else the same entry would always be the first to hear
 	}
-	for _, s := range k.order {
+	for _, s := range k.sessionOrder {
 		s.dirty = true
 	}
 }
 
 // Flush sends news of room where it is due.
-func (k *Keeper) Flush(now time.Time) {
+func (k *Controller) Flush(now time.Time) {
 	k.startAlone(now)
 	state, why := k.state(now)
-	if state != k.told {
-		k.observer.State(k.told, state, why)
-		k.told = state
-		for _, s := range k.order {
+	if state != k.announcedState {
+		k.observer.StateChanged(k.announcedState, state, why)
+		k.announcedState = state
+		for _, s := range k.sessionOrder {
 			s.dirty, s.urgent = true, true
 		}
 	}
-	k.answerQuestions()
-	for _, s := range k.order {
-		if s.linked && (now.Sub(s.sent) >= k.timing.KeepAlive || s.dirty && s.urgent) {
+	k.answerEndsQueries()
+	for _, s := range k.sessionOrder {
+		if s.linked && (now.Sub(s.roomSentAt) >= k.timing.KeepAlive || s.dirty && s.urgent) {
 			k.sendRoom(now, s, state)
 		}
 	}
-	if next := k.nextTold(now); next != nil {
-		k.newsAt = now
+	if next := k.nextRoomRecipient(now); next != nil {
+		k.roomTurnAt = now
 		k.sendRoom(now, next, state)
 	}
 }
 
 // nextTold returns the entry whose turn it is to be told of room, or nil.
-func (k *Keeper) nextTold(now time.Time) *session {
-	if now.Sub(k.newsAt) < newsEach {
+func (k *Controller) nextRoomRecipient(now time.Time) *session {
+	if now.Sub(k.roomTurnAt) < roomSpacing {
 		return nil
 	}
-	for i := range k.order {
-		at := (k.turn + i) % len(k.order)
-		if s := k.order[at]; s.linked && s.dirty && now.Sub(s.sent) >= newsLeast {
-			k.turn = at + 1
+	for i := range k.sessionOrder {
+		at := (k.roomTurn + i) % len(k.sessionOrder)
+		if s := k.sessionOrder[at]; s.linked && s.dirty && now.Sub(s.roomSentAt) >= roomInterval {
+			k.roomTurn = at + 1
 			return s
 		}
 	}
@@ -138,13 +138,13 @@
 }
 
 // sendRoom tells an entry what room there is, while the upstream is in a state.
-func (k *Keeper) sendRoom(now time.Time, s *session, state fleet.State) {
-	s.dirty, s.urgent, s.sent = false, false, now
+func (k *Controller) sendRoom(now time.Time, s *session, state fleet.State) {
+	s.dirty, s.urgent, s.roomSentAt = false, false, now
 	free := k.free()
-	if k.closed(now) {
+	if k.isReservedForAlone(now) {
 		free = job.Resources{}
 	}
 	k.entries.Room(s.entry, fleet.Room{
-		Free: free, Seq: s.seq, Clock: k.uptime(now), State: k.shown(now, state, s.entry), Pace: k.pace(),
+		Free: free, Seq: s.seq, Clock: k.uptime(now), State: k.stateShownTo(now, state, s.entry), Pace: k.pace(),
 	})
 }
--- a/internal/agent/upstream/shrink_test.go
+++ b/internal/agent/upstream/shrink_test.go
@@ -15,16 +15,16 @@
 // TestShrinkingRoom: what a heartbeat says of the room holds from then on, for what runs and is being stopped as well; a heartbeat that was
 // overtaken says nothing.
 func TestShrinkingRoom(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	beat := func(sequence uint64, cpu int64) {
-		b.keeper.Beat(b.now, lives.Beat{
+		b.manager.Heartbeat(b.now, lives.Heartbeat{
 			Upstream: fleet.Upstream{ID: "u-1", Service: "publish", Total: job.Resources{CPU: cpu}}, Sequence: sequence, Clock: b.clock(),
 		})
-		b.toldAll()
+		b.countToldAll()
 	}
 	b.order(one, 1)
 	first := b.starts[0]
-	b.keeper.StartDone(b.now, first, call.OK, b.clock())
+	b.manager.StartDone(b.now, first, call.OK, b.clock())
 	beat(3, 1000)
 	qt.Assert(t, b.rooms[one].Free, qt.Equals, job.Resources{})
 	beat(2, 2000) // overtaken
@@ -32,7 +32,7 @@
 	qt.Assert(t, b.starts, qt.HasLen, 1)
 	qt.Assert(t, b.ends[two][0].Reason, qt.Equals, fleet.NoRoom)
 	beat(4, 500)
-	b.keeper.StopTask(b.now, one, ordered(1), fleet.OnRequest)
+	b.manager.StopTask(b.now, one, ordered(1), fleet.OnRequest)
 	beat(5, 1500) // what is being stopped takes 1,000
 	b.orderBeside(two, 2)
 	qt.Assert(t, b.starts, qt.HasLen, 1)
@@ -43,11 +43,11 @@
 
 // TestShrunkBelowWhatRuns: nothing is started before the runs fit, and what runs goes on.
 func TestShrunkBelowWhatRuns(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.order(one, 1)
-	b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
-	b.keeper.Beat(b.now, lives.Beat{Upstream: fleet.Upstream{ID: "u-1", Service: "publish"}, Sequence: 2, Clock: b.clock()})
-	b.toldAll()
+	b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
+	b.manager.Heartbeat(b.now, lives.Heartbeat{Upstream: fleet.Upstream{ID: "u-1", Service: "publish"}, Sequence: 2, Clock: b.clock()})
+	b.countToldAll()
 	qt.Assert(t, b.stops, qt.HasLen, 0)
 	qt.Assert(t, b.rooms[one].Free, qt.Equals, job.Resources{CPU: -1000})
 	b.orderBeside(two, 1)
@@ -55,9 +55,9 @@
 }
 
 // toldAll lets both entries hear of the room.
-func (b *bench) toldAll() {
+func (b *harness) countToldAll() {
 	for range 2 {
 		b.pass(20 * time.Millisecond)
-		b.keeper.Flush(b.now)
+		b.manager.Flush(b.now)
 	}
 }
--- a/internal/agent/upstream/takeover.go
+++ b/internal/agent/upstream/takeover.go
@@ -9,9 +9,9 @@
 )
 
 // Holding passes on to all other entries which jobs one has held for long, later also to those that link.
-func (k *Keeper) Holding(now time.Time, holder ident.Incarnation, jobs []job.ID) {
-	k.owners.Holds(now, holder, jobs)
-	for _, s := range k.order {
+func (k *Controller) Holding(now time.Time, holder ident.Incarnation, jobs []job.ID) {
+	k.owners.RecordHeld(now, holder, jobs)
+	for _, s := range k.sessionOrder {
 		if s.linked && s.entry != holder {
 			k.entries.Holding(s.entry, holder, jobs)
 		}
@@ -19,31 +19,31 @@
 }
 
 // greetHolding tells an entry that has linked which jobs others hold.
-func (k *Keeper) greetHolding(now time.Time, entry ident.Incarnation) {
-	for _, h := range k.owners.Others(now, entry) {
+func (k *Controller) sendHoldings(now time.Time, entry ident.Incarnation) {
+	for _, h := range k.owners.HeldByOthers(now, entry) {
 		k.entries.Holding(entry, h.Entry, h.Jobs)
 	}
 }
 
 // Release handles an entry's wish to take a job over. Its holder is asked to give it up. One that isn't linked may not order its tasks any more,
 // and the entry is told once nothing of the job is left here; until then it asks again.
-func (k *Keeper) Release(now time.Time, t fleet.Takeover) {
-	k.owners.Asked(t)
+func (k *Controller) Release(now time.Time, t fleet.Takeover) {
+	k.owners.RecordTakeover(t)
 	if s := k.sessions[t.Holder]; s != nil && s.linked {
 		k.entries.Release(t)
 		return
 	}
 	k.owners.Refuse(now, t)
-	if k.looked && !k.has(t.Job, t.Holder) {
+	if k.runsKnown && !k.hasRunOfJob(t.Job, t.Holder) {
 		k.entries.Released(fleet.Released{Takeover: t})
 	}
 }
 
 // Released passes on that the holder of a job has given it up.
-func (k *Keeper) Released(r fleet.Released) { k.entries.Released(r) }
+func (k *Controller) Released(r fleet.Released) { k.entries.Released(r) }
 
 // has tells whether a run of a job is, or may be, here for an entry, or for nobody that is known.
-func (k *Keeper) has(id job.ID, entry ident.Incarnation) bool {
+func (k *Controller) hasRunOfJob(id job.ID, entry ident.Incarnation) bool {
 	for _, r := range k.runs {
 		if r.task.Job == id && r.owner == entry {
 			return true
--- a/internal/agent/upstream/takeover_test.go
+++ b/internal/agent/upstream/takeover_test.go
@@ -30,51 +30,51 @@
 
 // TestHoldingIsPassedOn: what one entry holds is told to all others.
 func TestHoldingIsPassedOn(t *testing.T) {
-	b := newBench(t, nil)
-	b.keeper.Holding(b.now, one, []job.ID{jobID})
+	b := newHarness(t, nil)
+	b.manager.Holding(b.now, one, []job.ID{jobID})
 	qt.Assert(t, b.held, qt.DeepEquals, map[ident.Incarnation][]job.ID{two: {jobID}})
 }
 
 // TestHoldingIsToldLater: an entry that links later hears as well, unless the job is being taken over since.
-func TestHoldingIsToldLater(t *testing.T) {
-	b := newBench(t, nil)
-	b.keeper.Holding(b.now, one, []job.ID{jobID, jobID + 1})
-	b.keeper.Release(b.now, fleet.Takeover{Job: jobID + 1, Holder: one, By: two})
+func TestHoldingIsSentToLaterEntries(t *testing.T) {
+	b := newHarness(t, nil)
+	b.manager.Holding(b.now, one, []job.ID{jobID, jobID + 1})
+	b.manager.Release(b.now, fleet.Takeover{Job: jobID + 1, Holder: one, NewHolder: two})
 	b.held = nil
-	b.keeper.Linked(b.now, 3)
+	b.manager.EntryLinked(b.now, 3)
 	qt.Assert(t, b.held, qt.DeepEquals, map[ident.Incarnation][]job.ID{3: {jobID}})
 	b.pass(11 * time.Second)
 	b.held = nil
-	b.keeper.Linked(b.now, two)
+	b.manager.EntryLinked(b.now, two)
 	qt.Assert(t, b.held, qt.HasLen, 0)
 }
 
 // TestTakeover guards against tasks that two entries run at once: an entry that takes a job over is told that nothing is left only once that is so,
 // and the former holder can't order its tasks any more.
 func TestTakeover(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.order(one, 1)
-	b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
-	to := fleet.Takeover{Job: jobID, Holder: one, By: two}
-	b.keeper.Release(b.now, to)
+	b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
+	to := fleet.Takeover{Job: jobID, Holder: one, NewHolder: two}
+	b.manager.Release(b.now, to)
 	qt.Assert(t, b.wanted, qt.DeepEquals, []fleet.Takeover{to}, qt.Commentf("its holder is linked, and decides"))
-	b.keeper.Unlinked(b.now, one, "broken")
-	b.keeper.Release(b.now, to)
+	b.manager.EntryUnlinked(b.now, one, "broken")
+	b.manager.Release(b.now, to)
 	qt.Assert(t, b.released, qt.HasLen, 0, qt.Commentf("its run is still there"))
-	b.keeper.Gone(b.now, one, "refused")
-	b.keeper.Flush(b.now)
-	b.keeper.StopDone(b.now, b.stops[0], call.OK, b.clock())
+	b.manager.EntryGone(b.now, one, "refused")
+	b.manager.Flush(b.now)
+	b.manager.StopDone(b.now, b.stops[0], call.OK, b.clock())
 	for range 3 {
 		b.pass(time.Millisecond)
-		b.look()
-		b.keeper.Flush(b.now)
+		b.answerHolds()
+		b.manager.Flush(b.now)
 	}
-	b.keeper.Release(b.now, to)
+	b.manager.Release(b.now, to)
 	qt.Assert(t, b.released, qt.DeepEquals, []fleet.Released{{Takeover: to}})
 
-	b.keeper.Linked(b.now, one)
-	b.keeper.Flush(b.now)
-	b.keeper.Ping(b.now, one, b.rooms[one].Clock, 0)
+	b.manager.EntryLinked(b.now, one)
+	b.manager.Flush(b.now)
+	b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
 	starts := len(b.starts)
 	b.order(one, 2)
 	qt.Assert(t, b.starts, qt.HasLen, starts)
--- a/internal/agent/upstream/upstream.go
+++ b/internal/agent/upstream/upstream.go
@@ -31,7 +31,7 @@
 	// Progress tells how the entry's runs get on while the upstream is slow.
 	Progress(to ident.Incarnation, runs []fleet.Progress)
 	// Asked tells that all ends which a question is about have been told.
-	Asked(to ident.Incarnation, number uint64)
+	EndsSent(to ident.Incarnation, number uint64)
 	Settled(to ident.Incarnation)
 	// Holding tells which jobs another entry has held for long.
 	Holding(to, holder ident.Incarnation, jobs []job.ID)
@@ -40,40 +40,40 @@
 	// Released tells the entry that takes a job over that nothing of it remains.
 	Released(r fleet.Released)
 	// Lost tells all entries that an upstream was lost that runs were at, ahead of their ends.
-	Lost(l Loss)
+	UpstreamLost(l Loss)
 	// Refuted tells all entries that a life has answered which was told as lost.
-	Refuted(r fleet.Refutation)
+	LossRefuted(r fleet.Refutation)
 }
 
 // Observer is told of what changes the agent's beliefs, for logs and metrics.
 type Observer interface {
 	// Ended is called once for each run that an entry has ordered.
-	Ended(e Ending)
+	RunEnded(e Ending)
 	// State is called when the state told to entries changes, with what decided it.
-	State(from, to fleet.State, why string)
+	StateChanged(from, to fleet.State, why string)
 	// Orphaned is called when the runs of a lost entry are stopped; late is how long ago its silence had lasted for Timing.Silence, zero if
 	// it has not.
-	Orphaned(owner ident.Incarnation, runs int, why string, late time.Duration)
+	RunsOrphaned(owner ident.Incarnation, runs int, why string, late time.Duration)
 	// Unconfirmed is called when a link with an entry has ended, with the ends of which it isn't known whether the entry has heard.
-	Unconfirmed(owner ident.Incarnation, ends []fleet.End)
+	EndsUnconfirmed(owner ident.Incarnation, ends []fleet.End)
 	// Lapsed is called when the agent takes the lease of all runs for lapsed; late is for how long it surely was.
-	Lapsed(late time.Duration)
+	LeaseLapsed(late time.Duration)
 	// Outlived is called when a heartbeat came of a life that another has followed.
-	Outlived(life, by ident.UpstreamLife)
+	HeartbeatOutlived(life, by ident.UpstreamLife)
 	// Unsure is called when a start got no answer.
-	Unsure(task job.TaskID, run job.Run)
+	StartUnsure(task job.TaskID, run job.Run)
 	// Begun is called when a life of the upstream is taken up, with what told of it. described is false if no heartbeat of it has come.
-	Begun(life ident.UpstreamLife, why string, described bool)
+	LifeBegun(life ident.UpstreamLife, why string, described bool)
 	// Dropped is called for a heartbeat whose number is below newest, that of the newest one.
-	Dropped(b lives.Beat, newest uint64)
+	HeartbeatDropped(b lives.Heartbeat, newest uint64)
 	// Gated is called when an order is refused because the zone is cordoned.
-	Gated(task job.TaskID, entry ident.Incarnation)
+	OrderGated(task job.TaskID, entry ident.Incarnation)
 	// Lost is called when an upstream is lost that runs were at.
-	Lost(l Loss)
+	UpstreamLost(l Loss)
 	// Stray is called when the upstream lists a run that nobody here has ordered, which is then stopped, and when that has gone.
-	Stray(r fleet.RunRef, event StrayEvent)
+	StrayChanged(r fleet.RunRef, event StrayEvent)
 	// Overtaken is called for a listing whose clock is older than that of one taken in before.
-	Overtaken()
+	ListingOvertaken()
 }
 
 // StrayEvent is what becomes of a run that nobody here has ordered.
@@ -86,7 +86,7 @@
 )
 
 // Keeper is the account of one upstream.
-type Keeper struct {
+type Controller struct {
 	timing   fleet.Timing
 	without  rule.Set
 	caller   Caller
@@ -96,56 +96,56 @@
 
 	// life is the upstream's present life, or the last one; known is false while there is none. What the account has of its upstream
 	// (numbers, clock, runs) is of that life alone.
-	life  ident.UpstreamLife
-	known bool
+	life    ident.UpstreamLife
+	hasLife bool
 	// up describes the upstream. It is that of an earlier life while described is false: no heartbeat of this one has come, and it
 	// may be of another kind.
-	up        fleet.Upstream
+	info      fleet.Upstream
 	described bool
 	// roomHeard is true once a heartbeat of the present life has told its room to this process.
-	roomHeard bool
+	roomReported bool
 	// began is when the present life, or the last one, was taken up.
-	began time.Time
+	lifeBegan time.Time
 	// lives has the other lives that were heard of.
-	lives *lives.Account
+	lives *lives.Tracker
 	// sequence is the newest heartbeat's number.
-	sequence uint64
+	lastSequence uint64
 	// draining: this life of the upstream ends soon; departed: a word that it has ended came, perhaps a former life's; leaving: the
 	// agent ends.
-	draining, departed, leaving bool
+	draining, saidEnded, leaving bool
 
 	// zone says whether operators have cordoned the VM's availability zone.
 	zone ZoneState
 	// owners says which entries hold jobs, and which may not order their tasks any more.
-	owners *owners.Account
+	owners *owners.Registry
 
 	lease lease.Lease
 	// shared: the life before had the same id, so that calls to it may have reached this one.
-	shared bool
+	sharedID bool
 	// fence is the token from which on calls are of the present life's account.
-	fence call.Token
-	ends  ends.Account
+	minToken call.Token
+	ends     ends.Tracker
 	// given are runs of kept jobs that were given up before their ends were listed.
-	given map[fleet.RunRef]bool
+	finishedUnlisted map[fleet.RunRef]bool
 	// quietUntil is until when an earlier agent's lease may live: before, ends that it has left are not acknowledged.
-	quietUntil time.Time
+	noAckUntil time.Time
 
 	// looked is false until a hold of this life was answered: before, it isn't known what runs.
-	looked bool
+	runsKnown bool
 	// holding is true while a hold is under way, looking while a look is; after a failure, none is made before holdAt or lookAt.
-	holding, looking bool
-	holdAt, lookAt   time.Time
+	holding, looking       bool
+	nextHoldAt, nextLookAt time.Time
 	// listed is the upstream's clock in the newest answer that was taken in: answers overtake each other.
-	listed call.Clock
+	listedClock call.Clock
 	// failures counts the holds in a row that got no answer; answered is when the last one was made that got one.
-	failures int
-	answered time.Time
+	failedHolds        int
+	answeredHoldSentAt time.Time
 	// heardAt is when the present life has answered last, whatever it was asked.
-	heardAt time.Time
+	lastAnswerAt time.Time
 	// livedAt is when it surely lived last: earlier, where its answer may have waited while this process stood still.
-	livedAt time.Time
+	lastAliveAt time.Time
 	// questions are those of entries that wait until nothing of the jobs in question runs here.
-	questions []question
+	endsQueries []endsQuery
 	// strays are runs at the upstream that nobody here ordered, with when a stop of each was answered; zero is not yet.
 	strays map[fleet.RunRef]time.Time
 
@@ -154,12 +154,12 @@
 	aloneRun   *run
 	aloneOrder *aloneOrder
 	// lost refutes the loss that was told last, should its life answer.
-	lost fleet.Refutation
+	lastLoss fleet.Refutation
 
 	sessions map[ident.Incarnation]*session
 	// order lists the sessions from the oldest on, so that runs of the state machine repeat.
-	order  []*session
-	health health.Health
+	sessionOrder []*session
+	health       health.Health
 	// coldUntil is until when the upstream is slow from its start, as it has said; cold is whether it was when time passed last.
 	coldUntil time.Time
 	cold      bool
@@ -167,13 +167,13 @@
 	idleSince time.Time
 	// median is the median of all upstreams' paces, as an entry told it last; slowTold is when entries were told last
 	// how runs get on while this one is slow.
-	median   float64
-	slowTold time.Time
+	medianPace     float64
+	progressSentAt time.Time
 	// newsAt is when an entry was told of room in its turn; turn is the place in order of the next one.
-	newsAt time.Time
-	turn   int
+	roomTurnAt time.Time
+	roomTurn   int
 	// told is the state that entries were told last.
-	told fleet.State
+	announcedState fleet.State
 }
 
 // phase is where a run stands.
@@ -190,37 +190,37 @@
 
 // run is one run at the upstream.
 type run struct {
-	task     job.TaskID
-	number   job.Run
-	id       fleet.RunID
-	owner    ident.Incarnation
-	epoch    uint64
-	spec     string
-	each     job.Resources
-	estimate time.Duration
+	task      job.TaskID
+	number    job.Run
+	id        fleet.RunID
+	owner     ident.Incarnation
+	epoch     uint64
+	spec      string
+	resources job.Resources
+	estimate  time.Duration
 	// earlier counts failures of the job before this run.
-	earlier    uint32
-	checkpoint string
-	kept       bool
+	priorFailures uint32
+	checkpoint    string
+	kept          bool
 	// alone is for how long after its start nothing else is started.
-	alone time.Duration
+	aloneFor time.Duration
 
-	phase phase
-	begun time.Time
+	phase     phase
+	startedAt time.Time
 	// sure is from when on a hold that does not list the run proves that it is not there.
-	sure time.Time
+	provableFrom time.Time
 
 	// percent is how much of its work is done, advanced when that last grew.
-	percent  int
-	advanced time.Time
+	percent    int
+	progressAt time.Time
 
 	// listed: the upstream's present life has listed it; carried: it was ordered of a former life under the same id, and may be at
 	// either.
-	listed, carried bool
+	listed, fromFormerLife bool
 	// stop is nil until the run is to be stopped.
-	stop *stopping
+	stop *stopState
 	// next waits for this run's end: the same task, ordered anew.
-	next *waiting
+	successor *pendingOrder
 }
 
 // ref names the run to the upstream.
@@ -230,33 +230,33 @@
 func (r *run) ordered() fleet.OrderedRun { return fleet.OrderedRun{RunRef: r.ref(), ID: r.id} }
 
 // stopping says why and since when a run is being stopped.
-type stopping struct {
+type stopState struct {
 	outcome job.Outcome
 	reason  fleet.Reason
 	cause   StopCause
 	// asked is when the stop began, since from when on the run was to be stopped as urgently as it is, sent when a stop call was made last.
-	asked, since, sent time.Time
+	askedAt, urgentSince, sentAt time.Time
 	// calling is true while a stop call is under way.
-	calling bool
+	inFlight bool
 	// acked is when one was answered first; zero is not yet.
-	acked time.Time
+	ackedAt time.Time
 	// unwanted is true when the caller may send the job elsewhere, because it or its entry has gone: then the run
 	// must end soon, whatever it takes.
 	unwanted bool
 }
 
 // waiting is an order for a task that still runs here for somebody else.
-type waiting struct {
+type pendingOrder struct {
 	owner ident.Incarnation
 	epoch uint64
 	order fleet.Order
 	index int
 	// ready: its task was to be started alone, and now can be.
-	ready bool
+	readyAlone bool
 }
 
 // ordered names the run that waits to its owner.
-func (w *waiting) ordered() fleet.OrderedRun {
+func (w *pendingOrder) ordered() fleet.OrderedRun {
 	t := w.order.Tasks[w.index]
 	return fleet.OrderedRun{RunRef: fleet.RunRef{Task: w.order.Task(w.index), Run: t.Run}, ID: t.ID}
 }
@@ -269,34 +269,34 @@
 }
 
 // New returns a Keeper that knows nothing yet. without leaves out safety rules, for experiments only.
-func New(t fleet.Timing, without rule.Set, now time.Time, c Caller, e Entries, o Observer) *Keeper {
-	return &Keeper{
+func New(t fleet.Timing, without rule.Set, now time.Time, c Caller, e Entries, o Observer) *Controller {
+	return &Controller{
 		timing: t, without: without, caller: c, entries: e, observer: o, start: now, lease: lease.New(t.Lease, now), lives: lives.New(),
-		strays:   make(map[fleet.RunRef]time.Time),
-		given:    make(map[fleet.RunRef]bool),
-		runs:     make(map[job.TaskID]*run),
-		sessions: make(map[ident.Incarnation]*session),
-		told:     fleet.Clearing,
-		zone:     ZoneOpen,
-		owners:   owners.New(),
+		strays:           make(map[fleet.RunRef]time.Time),
+		finishedUnlisted: make(map[fleet.RunRef]bool),
+		runs:             make(map[job.TaskID]*run),
+		sessions:         make(map[ident.Incarnation]*session),
+		announcedState:   fleet.Clearing,
+		zone:             ZoneOpen,
+		owners:           owners.New(),
 	}
 }
 
 // uptime is the agent's steady clock.
-func (k *Keeper) uptime(now time.Time) time.Duration { return now.Sub(k.start) }
+func (k *Controller) uptime(now time.Time) time.Duration { return now.Sub(k.start) }
 
 // header returns what every call made now carries.
-func (k *Keeper) header(now time.Time) call.Header {
+func (k *Controller) header(now time.Time) call.Header {
 	return call.Header{Instance: k.life.ID, Born: k.life.Born, Token: k.lease.Token(), Sent: now}
 }
 
 // Runs returns how many runs are, or may be, at the upstream.
-func (k *Keeper) Runs() int { return len(k.runs) }
+func (k *Controller) RunCount() int { return len(k.runs) }
 
 // Leave makes the agent take no more work.
-func (k *Keeper) Leave() { k.leaving = true; k.touchAll() }
+func (k *Controller) Leave() { k.leaving = true; k.markAllDirty() }
 
 // Known returns what is known of the upstream, and whether a heartbeat of its present life has been heard.
-func (k *Keeper) Known() (lives.Known, bool) {
-	return lives.Known{Upstream: k.up, Born: k.life.Born, Draining: k.draining}, k.known && k.described
+func (k *Controller) Snapshot() (lives.Snapshot, bool) {
+	return lives.Snapshot{Upstream: k.info, Born: k.life.Born, Draining: k.draining}, k.hasLife && k.described
 }
--- a/internal/agent/upstream/zone.go
+++ b/internal/agent/upstream/zone.go
@@ -20,19 +20,21 @@
 
 // SetZone notes what is known of the zone. The agent is the last to decide: an entry that has not heard of a cordon goes on
 // ordering, and is told with the refusal.
-func (k *Keeper) SetZone(s ZoneState) {
+func (k *Controller) SetZone(s ZoneState) {
 	if s == k.zone {
 		return
 	}
 	k.zone = s
-	k.touchAll()
+	k.markAllDirty()
 }
 
 // cordoned tells whether nothing may be started for the zone's sake.
-func (k *Keeper) cordoned() bool { return k.zone == ZoneCordoned && !k.without.Off(rule.CordonGate) }
+func (k *Controller) isCordoned() bool {
+	return k.zone == ZoneCordoned && !k.without.Has(rule.CordonGate)
+}
 
 // gate refuses an order because the zone is cordoned. Nothing was begun, so that the task can be placed elsewhere at once.
-func (k *Keeper) gate(w waiting) {
-	k.observer.Gated(w.order.Task(w.index), w.owner)
+func (k *Controller) refuseCordoned(w pendingOrder) {
+	k.observer.OrderGated(w.order.Task(w.index), w.owner)
 	k.refuse(w, fleet.ZoneCordoned)
 }
--- a/internal/agent/upstream/zone_test.go
+++ b/internal/agent/upstream/zone_test.go
@@ -15,14 +15,14 @@
 // TestCordonedZone: the agent is the last to decide. An order of an entry that has not heard of the cordon is refused as not begun, and
 // what runs goes on to its end.
 func TestCordonedZone(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.order(one, 1)
 	qt.Assert(t, b.starts, qt.HasLen, 1)
-	b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
-	b.keeper.SetZone(upstream.ZoneCordoned)
-	b.keeper.Flush(b.now)
+	b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
+	b.manager.SetZone(upstream.ZoneCordoned)
+	b.manager.Flush(b.now)
 	qt.Assert(t, b.rooms[two].State, qt.Equals, fleet.Cordoned)
-	b.keeper.Order(b.now, two, fleet.Order{
+	b.manager.Order(b.now, two, fleet.Order{
 		Seq: 1, Job: jobID + 1, Each: job.Resources{CPU: 1000}, Estimate: time.Second, Tasks: []fleet.TaskRun{{Run: 1}},
 	})
 	qt.Assert(t, b.starts, qt.HasLen, 1)
@@ -30,12 +30,12 @@
 	qt.Assert(t, b.ends[two], qt.HasLen, 1)
 	qt.Assert(t, b.ends[two][0].Outcome, qt.Equals, job.NotStarted)
 	qt.Assert(t, b.ends[two][0].Reason, qt.Equals, fleet.ZoneCordoned)
-	qt.Assert(t, b.keeper.Runs(), qt.Equals, 1)
+	qt.Assert(t, b.manager.RunCount(), qt.Equals, 1)
 
-	b.keeper.SetZone(upstream.ZoneOpen)
-	b.keeper.Flush(b.now)
+	b.manager.SetZone(upstream.ZoneOpen)
+	b.manager.Flush(b.now)
 	qt.Assert(t, b.rooms[two].State, qt.Equals, fleet.Ready)
-	b.keeper.Order(b.now, two, fleet.Order{
+	b.manager.Order(b.now, two, fleet.Order{
 		Seq: 2, Job: jobID + 1, Each: job.Resources{CPU: 1000}, Estimate: time.Second, Tasks: []fleet.TaskRun{{Run: 2}},
 	})
 	qt.Assert(t, b.starts, qt.HasLen, 2)
@@ -43,16 +43,16 @@
 
 // TestCordonMeetsWaitingOrder: an order that waits for the end of an earlier run of its task is refused when that comes after the cordon.
 func TestCordonMeetsWaitingOrder(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.order(one, 1)
-	b.keeper.StartDone(b.now, b.starts[0], call.OK, b.clock())
+	b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
 	b.order(two, 2)
 	qt.Assert(t, b.ends[two], qt.HasLen, 0)
-	b.keeper.SetZone(upstream.ZoneCordoned)
-	b.keeper.StopDone(b.now, b.stops[0], call.OK, b.clock())
+	b.manager.SetZone(upstream.ZoneCordoned)
+	b.manager.StopDone(b.now, b.stops[0], call.OK, b.clock())
 	for range 2 { // the first answer was asked for before the stop was answered, and proves nothing
 		b.pass(time.Millisecond)
-		b.look()
+		b.answerHolds()
 	}
 	qt.Assert(t, b.starts, qt.HasLen, 1)
 	qt.Assert(t, b.ends[two], qt.HasLen, 1)
@@ -61,21 +61,21 @@
 
 // TestCordonMeetsFencedStart: a start that the upstream has refused for its token's sake is not sent again after the cordon.
 func TestCordonMeetsFencedStart(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.order(one, 1)
-	b.keeper.SetZone(upstream.ZoneCordoned)
-	b.keeper.StartDone(b.now, b.starts[0], call.Fenced, 0)
+	b.manager.SetZone(upstream.ZoneCordoned)
+	b.manager.StartDone(b.now, b.starts[0], call.Fenced, 0)
 	qt.Assert(t, b.starts, qt.HasLen, 1)
 	qt.Assert(t, b.ends[one], qt.HasLen, 1)
 	qt.Assert(t, b.ends[one][0].Outcome, qt.Equals, job.NotStarted)
 	qt.Assert(t, b.ends[one][0].Reason, qt.Equals, fleet.ZoneCordoned)
-	qt.Assert(t, b.keeper.Runs(), qt.Equals, 0)
+	qt.Assert(t, b.manager.RunCount(), qt.Equals, 0)
 }
 
 // TestUnknownZone: before anybody has said which zones are cordoned, nothing starts.
 func TestUnknownZone(t *testing.T) {
-	b := newBench(t, nil)
-	b.keeper.SetZone(upstream.ZoneUnknown)
+	b := newHarness(t, nil)
+	b.manager.SetZone(upstream.ZoneUnknown)
 	b.order(one, 1)
 	qt.Assert(t, b.starts, qt.HasLen, 0)
 	qt.Assert(t, b.ends[one][0].Reason, qt.Equals, fleet.NotAccepting)
@@ -84,16 +84,16 @@
 
 // TestCordonedSuspect: an upstream under suspicion gets no probes while its zone is cordoned.
 func TestCordonedSuspect(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	for run := range job.Run(4) {
 		b.order(one, run+1)
-		b.keeper.StartDone(b.now, b.starts[len(b.starts)-1], call.Declined, 0)
+		b.manager.StartDone(b.now, b.starts[len(b.starts)-1], call.Declined, 0)
 	}
 	b.pass(time.Second)
-	b.keeper.Flush(b.now)
+	b.manager.Flush(b.now)
 	qt.Assert(t, b.rooms[one].State == fleet.Probing || b.rooms[two].State == fleet.Probing, qt.IsTrue)
-	b.keeper.SetZone(upstream.ZoneCordoned)
-	b.keeper.Flush(b.now)
+	b.manager.SetZone(upstream.ZoneCordoned)
+	b.manager.Flush(b.now)
 	qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Cordoned)
 	qt.Assert(t, b.rooms[two].State, qt.Equals, fleet.Cordoned)
 }
--- a/internal/config/cordon/cordon.go
+++ b/internal/config/cordon/cordon.go
@@ -42,7 +42,7 @@
 // Set is what one process knows. One goroutine uses it.
 type Set struct {
 	// by has at most one snapshot of each source, and its version only grows.
-	by      map[Source]Snapshot
+	newest  map[Source]Snapshot
 	without rule.Set
 }
 
@@ -52,21 +52,21 @@
 // Adopt takes in a snapshot, and tells whether it was news: an older one, or one of a source that isn't known, changes nothing, and
 // one that says the same is believed from its version on.
 func (s *Set) Adopt(n Snapshot) bool {
-	have, known := s.by[n.Source]
-	older := n.Version < have.Version && !s.without.Off(rule.CordonOrder)
+	have, known := s.newest[n.Source]
+	older := n.Version < have.Version && !s.without.Has(rule.CordonOrder)
 	if !slices.Contains(Sources, n.Source) || known && (older || n.Version == have.Version) {
 		return false
 	}
-	s.by[n.Source] = n
+	s.newest[n.Source] = n
 	return !known || !slices.Equal(n.Zones, have.Zones)
 }
 
 // Known tells whether every source was heard of.
-func (s *Set) Known() bool { return len(s.by) == len(Sources) }
+func (s *Set) Complete() bool { return len(s.newest) == len(Sources) }
 
 // Cordoned tells whether a zone is cordoned, as far as is known.
 func (s *Set) Cordoned(z ident.Zone) bool {
-	for _, have := range s.by {
+	for _, have := range s.newest {
 		if slices.Contains(have.Zones, z) {
 			return true
 		}
@@ -77,7 +77,7 @@
 // Zones lists the zones that are cordoned, as far as is known, in order.
 func (s *Set) Zones() []ident.Zone {
 	var out []ident.Zone
-	for _, have := range s.by {
+	for _, have := range s.newest {
 		out = append(out, have.Zones...)
 	}
 	slices.Sort(out)
@@ -85,6 +85,6 @@
 }
 
 // All lists the snapshots in the order of their sources.
-func (s *Set) All() []Snapshot {
-	return slices.SortedFunc(maps.Values(s.by), func(a, b Snapshot) int { return cmp.Compare(a.Source, b.Source) })
+func (s *Set) Snapshots() []Snapshot {
+	return slices.SortedFunc(maps.Values(s.newest), func(a, b Snapshot) int { return cmp.Compare(a.Source, b.Source) })
 }
