--- a/internal/config/cordon/cordon_test.go
+++ b/internal/config/cordon/cordon_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestSetBelievesTheNewest: whatever the order in which snapshots arrive, the newest of each source holds.
-func TestSetBelievesTheNewest(t *testing.T) {
+func TestSetKeepsNewestSnapshot(t *testing.T) {
 	platform := func(version rows.Version, zones ...ident.Zone) cordon.Snapshot {
 		return cordon.Snapshot{Source: cordon.Platform, Version: version, Zones: zones}
 	}
@@ -49,7 +49,7 @@
 			}
 			qt.Assert(t, news, qt.Equals, test.news)
 			qt.Assert(t, s.Zones(), qt.DeepEquals, test.zones)
-			qt.Assert(t, s.Known(), qt.Equals, test.known)
+			qt.Assert(t, s.Complete(), qt.Equals, test.known)
 			for _, z := range test.zones {
 				qt.Assert(t, s.Cordoned(z), qt.IsTrue)
 			}
@@ -59,7 +59,7 @@
 }
 
 // TestReader: snapshots follow the table, whichever way its changes are told; a row that can't be read names no zone.
-func TestReader(t *testing.T) {
+func TestReaderPublishesSnapshots(t *testing.T) {
 	table := cordon.Table{Source: cordon.Platform, Name: "op", Decode: func(r rows.Row) (ident.Zone, error) {
 		switch string(r.Value) {
 		case "other":
@@ -79,31 +79,31 @@
 		changes []follow.Changes
 		want    []cordon.Snapshot
 	}{
-		{"an empty table is known", []follow.Changes{{Whole: true, Version: 4}}, []cordon.Snapshot{snapshot(4)}},
+		{"an empty table is known", []follow.Changes{{Complete: true, Version: 4}}, []cordon.Snapshot{snapshot(4)}},
 		{"asked for and lifted", []follow.Changes{
-			{Whole: true, Version: 4}, {Rows: []rows.Row{row("a", "")}, Version: 6}, {Rows: []rows.Row{gone("a")}, Version: 7},
+			{Complete: true, Version: 4}, {Rows: []rows.Row{row("a", "")}, Version: 6}, {Rows: []rows.Row{gone("a")}, Version: 7},
 		}, []cordon.Snapshot{snapshot(4), snapshot(6, "a"), snapshot(7)}},
 		{"other rows are no news", []follow.Changes{
-			{Whole: true, Version: 4, Rows: []rows.Row{row("config", "other")}}, {Rows: []rows.Row{row("config", "other")}, Version: 6},
+			{Complete: true, Version: 4, Rows: []rows.Row{row("config", "other")}}, {Rows: []rows.Row{row("config", "other")}, Version: 6},
 		}, []cordon.Snapshot{snapshot(4)}},
 		{"gone while the history was forgotten", []follow.Changes{
-			{Whole: true, Version: 4, Rows: []rows.Row{row("a", ""), row("b", "")}}, {Whole: true, Version: 9, Rows: []rows.Row{row("b", "")}},
+			{Complete: true, Version: 4, Rows: []rows.Row{row("a", ""), row("b", "")}}, {Complete: true, Version: 9, Rows: []rows.Row{row("b", "")}},
 		}, []cordon.Snapshot{snapshot(4, "a", "b"), snapshot(9, "b")}},
 		{"asked for and lifted in one reading", []follow.Changes{
-			{Whole: true, Version: 4}, {Rows: []rows.Row{row("a", ""), gone("a")}, Version: 6},
+			{Complete: true, Version: 4}, {Rows: []rows.Row{row("a", ""), gone("a")}, Version: 6},
 		}, []cordon.Snapshot{snapshot(4)}},
 		{"unreadable", []follow.Changes{
-			{Whole: true, Version: 4, Rows: []rows.Row{row("a", "bad"), row("b", "")}},
+			{Complete: true, Version: 4, Rows: []rows.Row{row("a", "bad"), row("b", "")}},
 		}, []cordon.Snapshot{snapshot(4, "b")}},
 		{"overwritten by another writer", []follow.Changes{
-			{Whole: true, Version: 4, Rows: []rows.Row{row("a", ""), row("b", "")}}, {Rows: []rows.Row{row("a", "bad")}, Version: 5},
+			{Complete: true, Version: 4, Rows: []rows.Row{row("a", ""), row("b", "")}}, {Rows: []rows.Row{row("a", "bad")}, Version: 5},
 		}, []cordon.Snapshot{snapshot(4, "a", "b"), snapshot(5, "b")}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var got []cordon.Snapshot
 			r := cordon.NewReader(table, func(s cordon.Snapshot) { got = append(got, s) }, logs.Discard())
 			for _, c := range test.changes {
-				r.Change(c)
+				r.ApplyChanges(c)
 			}
 			qt.Assert(t, got, qt.DeepEquals, test.want)
 		})
@@ -111,7 +111,7 @@
 }
 
 // TestPeers: a peer is told what differs, once, and what it has told of an older version is answered with the newer one.
-func TestPeers(t *testing.T) {
+func TestPeerIsToldWhatDiffers(t *testing.T) {
 	at := func(version rows.Version, zones ...ident.Zone) cordon.Snapshot {
 		return cordon.Snapshot{Source: cordon.Platform, Version: version, Zones: zones}
 	}
@@ -123,8 +123,8 @@
 		told  bool
 	}{
 		{"of which nothing is known", cordon.NewPeer(), nil, at(3), true},
-		{"that takes all for open, and they are", cordon.NewOpenPeer(), nil, at(3), false},
-		{"that takes all for open, and they are not", cordon.NewOpenPeer(), nil, at(3, "a"), true},
+		{"that takes all for open, and they are", cordon.NewPeerWithoutCordons(), nil, at(3), false},
+		{"that takes all for open, and they are not", cordon.NewPeerWithoutCordons(), nil, at(3, "a"), true},
 		{"that has told the same at an older version", cordon.NewPeer(), []cordon.Snapshot{at(2, "a")}, at(3, "a"), false},
 		{"that has told something older", cordon.NewPeer(), []cordon.Snapshot{at(2)}, at(3, "a"), true},
 		{"that has told something newer", cordon.NewPeer(), []cordon.Snapshot{at(4)}, at(3, "a"), false},
@@ -132,11 +132,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for _, s := range test.heard {
-				test.peer.Heard(s)
+				test.peer.RecordReceived(s)
 			}
-			due := test.peer.Due([]cordon.Snapshot{test.have})
+			due := test.peer.TakeDue([]cordon.Snapshot{test.have})
 			qt.Assert(t, len(due) == 1, qt.Equals, test.told)
-			qt.Assert(t, test.peer.Due([]cordon.Snapshot{test.have}), qt.HasLen, 0)
+			qt.Assert(t, test.peer.TakeDue([]cordon.Snapshot{test.have}), qt.HasLen, 0)
 		})
 	}
 }
--- a/internal/config/cordon/peer.go
+++ b/internal/config/cordon/peer.go
@@ -10,7 +10,7 @@
 func NewPeer() *Peer { return &Peer{make(map[Source]Snapshot)} }
 
 // NewOpenPeer returns a Peer that takes all zones for open until it is told otherwise, so that it needs to hear of cordons only.
-func NewOpenPeer() *Peer {
+func NewPeerWithoutCordons() *Peer {
 	p := NewPeer()
 	for _, source := range Sources {
 		p.known[source] = Snapshot{Source: source}
@@ -19,7 +19,7 @@
 }
 
 // Heard notes what the peer has told.
-func (p *Peer) Heard(s Snapshot) {
+func (p *Peer) RecordReceived(s Snapshot) {
 	if have, known := p.known[s.Source]; !known || s.Version >= have.Version {
 		p.known[s.Source] = s
 	}
@@ -27,7 +27,7 @@
 
 // Due lists the snapshots that the peer should be told, and notes them as told: those that are newer than what it knows and say
 // something else. What it has told of an older version is answered that way.
-func (p *Peer) Due(all []Snapshot) []Snapshot {
+func (p *Peer) TakeDue(all []Snapshot) []Snapshot {
 	var out []Snapshot
 	for _, s := range all {
 		have, known := p.known[s.Source]
--- a/internal/config/cordon/reader.go
+++ b/internal/config/cordon/reader.go
@@ -36,15 +36,15 @@
 }
 
 // Change takes in changes of the table; it is a follow.Change.
-func (r *Reader) Change(c follow.Changes) {
-	before := r.list()
-	if c.Whole {
+func (r *Reader) ApplyChanges(c follow.Changes) {
+	before := r.sortedZones()
+	if c.Complete {
 		clear(r.zones) // rows that have gone are not told again
 	}
 	for _, row := range c.Rows {
-		r.take(row)
+		r.applyRow(row)
 	}
-	now := r.list()
+	now := r.sortedZones()
 	if r.published && slices.Equal(before, now) {
 		return
 	}
@@ -53,7 +53,7 @@
 }
 
 // take takes in one row. One that can't be read may be another writer's: it cordons nothing, and the others hold.
-func (r *Reader) take(row rows.Row) {
+func (r *Reader) applyRow(row rows.Row) {
 	delete(r.zones, row.Key.Name)
 	if row.Removed {
 		return
@@ -69,6 +69,6 @@
 }
 
 // list returns the zones that are cordoned, in order and each once.
-func (r *Reader) list() []ident.Zone {
+func (r *Reader) sortedZones() []ident.Zone {
 	return slices.Compact(slices.Sorted(maps.Values(r.zones)))
 }
--- a/internal/config/object/object.go
+++ b/internal/config/object/object.go
@@ -92,7 +92,7 @@
 // Error names the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-func refuse(field, format string, args ...any) error {
+func newFieldError(field, format string, args ...any) error {
 	return &FieldError{field, fmt.Sprintf(format, args...)}
 }
 
@@ -102,15 +102,15 @@
 // Check decodes a spec strictly and refuses what can't be meant, naming the field.
 func Check(r Ref, spec json.RawMessage) error {
 	if !namePattern.MatchString(string(r.Name)) {
-		return refuse("name", "want small letters, digits, '-', '_' and '.', at most 63, not %q", r.Name)
+		return newFieldError("name", "want small letters, digits, '-', '_' and '.', at most 63, not %q", r.Name)
 	}
 	switch r.Kind {
 	case KindService:
 		var s Service
-		return firstError(decode(spec, &s), notNegative("max_tasks", &s.MaxTasks), notNegative("deadline_ms", &s.DeadlineMs))
+		return firstError(decode(spec, &s), checkNotNegative("max_tasks", &s.MaxTasks), checkNotNegative("deadline_ms", &s.DeadlineMs))
 	case KindPool:
 		var s Pool
-		return firstError(decode(spec, &s), named("service", &s.Service), selector("selector", &s.Selector))
+		return firstError(decode(spec, &s), checkName("service", &s.Service), checkSelector("selector", &s.Selector))
 	case KindUpstream:
 		var s Upstream
 		return firstError(decode(spec, &s), checkLabels(&s))
@@ -119,10 +119,10 @@
 		return decode(spec, &s)
 	case KindObjective:
 		var s Objective
-		return firstError(decode(spec, &s), named("service", &s.Service), atLeastOne("within_ideal", &s.WithinIdeal),
-			share("fast_share", &s.FastShare), share("complete_share", &s.CompleteShare))
+		return firstError(decode(spec, &s), checkName("service", &s.Service), checkAtLeastOne("within_ideal", &s.WithinIdeal),
+			checkShare("fast_share", &s.FastShare), checkShare("complete_share", &s.CompleteShare))
 	}
-	return refuse("kind", "no such kind %q; there are %v", r.Kind, Kinds)
+	return newFieldError("kind", "no such kind %q; there are %v", r.Kind, Kinds)
 }
 
 // check is a check that runs only once the spec was decoded.
@@ -148,37 +148,37 @@
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case err == nil && d.More():
-		return refuse("spec", "more than one JSON value")
+		return newFieldError("spec", "more than one JSON value")
 	case errors.As(err, &wrongType):
-		return refuse(wrongType.Field, "want %s, not %s", wrongType.Type, wrongType.Value)
+		return newFieldError(wrongType.Field, "want %s, not %s", wrongType.Type, wrongType.Value)
 	case err != nil:
-		return refuse("spec", "%s", err)
+		return newFieldError("spec", "%s", err)
 	}
 	return nil
 }
 
-func notNegative(field string, v *int) check {
+func checkNotNegative(field string, v *int) check {
 	return func() error {
 		if *v < 0 {
-			return refuse(field, "must not be negative")
+			return newFieldError(field, "must not be negative")
 		}
 		return nil
 	}
 }
 
-func named(field string, v *Name) check {
+func checkName(field string, v *Name) check {
 	return func() error {
 		if !namePattern.MatchString(string(*v)) {
-			return refuse(field, "want the name of an object, not %q", *v)
+			return newFieldError(field, "want the name of an object, not %q", *v)
 		}
 		return nil
 	}
 }
 
-func selector(field string, v *string) check {
+func checkSelector(field string, v *string) check {
 	return func() error {
 		if _, err := labels.Parse(*v); err != nil {
-			return refuse(field, "%s", err)
+			return newFieldError(field, "%s", err)
 		}
 		return nil
 	}
@@ -188,33 +188,33 @@
 	return func() error {
 		for k, v := range u.Labels {
 			if _, err := labels.NewRequirement(k, "=", []string{v}); err != nil {
-				return refuse("labels."+k, "%s", err)
+				return newFieldError("labels."+k, "%s", err)
 			}
 		}
 		return nil
 	}
 }
 
-func atLeastOne(field string, v *float64) check {
+func checkAtLeastOne(field string, v *float64) check {
 	return func() error {
 		if *v < 1 {
-			return refuse(field, "must be at least 1")
+			return newFieldError(field, "must be at least 1")
 		}
 		return nil
 	}
 }
 
-func share(field string, v *float64) check {
+func checkShare(field string, v *float64) check {
 	return func() error {
 		if *v <= 0 || *v >= 1 {
-			return refuse(field, "must lie between 0 and 1")
+			return newFieldError(field, "must lie between 0 and 1")
 		}
 		return nil
 	}
 }
 
 // As decodes a spec that was checked before.
-func As[T any](o Object) (T, error) {
+func DecodeSpec[T any](o Object) (T, error) {
 	var v T
 	err := json.Unmarshal(o.Spec, &v)
 	return v, errors.Wrapf(err, "object %s", o.Ref)
--- a/internal/config/store/copy.go
+++ b/internal/config/store/copy.go
@@ -12,9 +12,9 @@
 )
 
 // Copy is an entry's copy of all objects. A follow.Follower feeds it.
-type Copy struct {
-	log     *logrus.Entry
-	changed func(*view.View)
+type Replica struct {
+	log      *logrus.Entry
+	onChange func(*view.View)
 
 	mu      sync.Mutex
 	objects map[string]object.Object
@@ -22,12 +22,12 @@
 }
 
 // NewCopy returns an empty Copy; changed is called with each new view.
-func NewCopy(changed func(*view.View), log *logrus.Entry) *Copy {
-	return &Copy{log: log, changed: changed, objects: make(map[string]object.Object), view: view.New(0, nil)}
+func NewReplica(changed func(*view.View), log *logrus.Entry) *Replica {
+	return &Replica{log: log, onChange: changed, objects: make(map[string]object.Object), view: view.New(0, nil)}
 }
 
 // View returns the newest view.
-func (c *Copy) View() *view.View {
+func (c *Replica) View() *view.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view
@@ -35,9 +35,9 @@
 
 // Change takes in changes of Objects; it is a follow.Change. The view's version is the newest object's: one that is
 // deleted takes nothing back.
-func (c *Copy) Change(ch follow.Changes) {
+func (c *Replica) ApplyChanges(ch follow.Changes) {
 	c.mu.Lock()
-	if ch.Whole {
+	if ch.Complete {
 		clear(c.objects)
 	}
 	version := c.view.Version
@@ -62,5 +62,5 @@
 	v := c.view
 	c.mu.Unlock()
 	c.log.WithFields(logrus.Fields{"version": v.Version, "objects": len(all)}).Info("objects_adopted")
-	c.changed(v)
+	c.onChange(v)
 }
--- a/internal/config/store/cordon.go
+++ b/internal/config/store/cordon.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return "", err
 	}
-	z, err := object.As[object.Zone](o)
+	z, err := object.DecodeSpec[object.Zone](o)
 	if err != nil || !z.Cordoned {
 		return "", err
 	}
--- a/internal/config/store/store.go
+++ b/internal/config/store/store.go
@@ -19,17 +19,17 @@
 // The tables. All rows have an empty part, since a change touches one of each.
 const (
 	// Objects is followed by all entries.
-	Objects rows.Table = "hillreel_objects"
-	heads   rows.Table = "hillreel_head"
-	audits  rows.Table = "hillreel_audit"
-	changes rows.Table = "hillreel_changes"
+	Objects     rows.Table = "hillreel_objects"
+	headTable   rows.Table = "hillreel_head"
+	auditTable  rows.Table = "hillreel_audit"
+	changeTable rows.Table = "hillreel_changes"
 )
 
 // headName is the only row of heads.
 const headName = "config"
 
 // maxRaces bounds how often a change is tried again because another one moved the head.
-const maxRaces = 50
+const maxTries = 50
 
 // Rows is what a Store needs of the platform's store.
 type Rows interface {
@@ -62,12 +62,12 @@
 // Conflict says that the object has another version than the operator saw.
 type Conflict struct {
 	// Present is the object as it is; its version is zero if there is none.
-	Present object.Object
+	Current object.Object
 }
 
 // Error names the present version.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("%s has version %d now", c.Present.Ref, c.Present.Version)
+	return fmt.Sprintf("%s has version %d now", c.Current.Ref, c.Current.Version)
 }
 
 // Store reads and changes configuration.
@@ -85,8 +85,8 @@
 }
 
 // head returns the head row's content and the row's own version; both are zero before the first change.
-func (s *Store) head(ctx context.Context) (head, rows.Version, error) {
-	row, err := s.rows.Read(ctx, rows.Key{Table: heads, Name: headName})
+func (s *Store) readHead(ctx context.Context) (head, rows.Version, error) {
+	row, err := s.rows.Read(ctx, rows.Key{Table: headTable, Name: headName})
 	if err != nil || row.Version == 0 {
 		return head{}, 0, err
 	}
@@ -98,8 +98,8 @@
 // Apply does a change. Its errors are a *Conflict, or a *verdict.Error: not_run, or may_have_run when the
 // table's answer was lost and could not be read back; the same change may then be sent again.
 func (s *Store) Apply(ctx context.Context, c Change) (Audit, error) {
-	for range maxRaces {
-		audit, again, err := s.try(ctx, c)
+	for range maxTries {
+		audit, again, err := s.tryApply(ctx, c)
 		if !again {
 			return audit, err
 		}
@@ -108,15 +108,15 @@
 }
 
 // try attempts a change once; again is true when only the head had moved.
-func (s *Store) try(ctx context.Context, c Change) (audit Audit, again bool, err error) {
-	if done, err := s.done(ctx, c); err != nil || done != nil {
-		return deref(done), false, err
+func (s *Store) tryApply(ctx context.Context, c Change) (audit Audit, again bool, err error) {
+	if done, err := s.findApplied(ctx, c); err != nil || done != nil {
+		return auditOrZero(done), false, err
 	}
-	h, headRow, err := s.head(ctx)
+	h, headRow, err := s.readHead(ctx)
 	if err != nil {
 		return Audit{}, false, notRun(err)
 	}
-	present, objectRow, err := s.object(ctx, c.Ref)
+	present, objectRow, err := s.readCurrent(ctx, c.Ref)
 	if err != nil {
 		return Audit{}, false, notRun(err)
 	}
@@ -128,7 +128,7 @@
 		// Versions never come again, also when an object is deleted and made anew.
 		audit.To = uint64(audit.Version)
 	}
-	txn, err := transaction(audit, headRow, objectRow)
+	txn, err := buildTxn(audit, headRow, objectRow)
 	if err != nil {
 		return Audit{}, false, err
 	}
@@ -146,7 +146,7 @@
 
 // readBack finds out what became of a write whose answer was lost.
 func (s *Store) readBack(ctx context.Context, c Change, lost error) (Audit, bool, error) {
-	done, err := s.done(ctx, c)
+	done, err := s.findApplied(ctx, c)
 	switch {
 	case err != nil:
 		return Audit{}, false, &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.Unreachable, Cause: lost}
@@ -157,8 +157,8 @@
 }
 
 // done returns the audit of a change that has taken effect before, or nil.
-func (s *Store) done(ctx context.Context, c Change) (*Audit, error) {
-	row, err := s.rows.Read(ctx, rows.Key{Table: changes, Name: c.ID})
+func (s *Store) findApplied(ctx context.Context, c Change) (*Audit, error) {
+	row, err := s.rows.Read(ctx, rows.Key{Table: changeTable, Name: c.ID})
 	if err != nil {
 		return nil, notRun(err)
 	}
@@ -175,7 +175,7 @@
 	return &a, nil
 }
 
-func deref(a *Audit) Audit {
+func auditOrZero(a *Audit) Audit {
 	if a == nil {
 		return Audit{}
 	}
@@ -189,7 +189,7 @@
 
 func objectKey(r object.Ref) rows.Key { return rows.Key{Table: Objects, Name: r.String()} }
 
-func (s *Store) object(ctx context.Context, r object.Ref) (object.Object, rows.Version, error) {
+func (s *Store) readCurrent(ctx context.Context, r object.Ref) (object.Object, rows.Version, error) {
 	row, err := s.rows.Read(ctx, objectKey(r))
 	if err != nil || row.Version == 0 {
 		return object.Object{Ref: r}, 0, err
@@ -206,7 +206,7 @@
 }
 
 // transaction writes head, object, audit row and change row, all or none.
-func transaction(a Audit, headRow, objectRow rows.Version) (rows.Txn, error) {
+func buildTxn(a Audit, headRow, objectRow rows.Version) (rows.Txn, error) {
 	var txn rows.Txn
 	put := func(k rows.Key, present rows.Version, value any) error {
 		raw, err := json.Marshal(value)
@@ -214,12 +214,12 @@
 		txn.Put = append(txn.Put, rows.Row{Key: k, Value: raw})
 		return errors.Wrap(err, "config: encode")
 	}
-	err := put(rows.Key{Table: heads, Name: headName}, headRow, head{a.Version})
+	err := put(rows.Key{Table: headTable, Name: headName}, headRow, head{a.Version})
 	if err == nil {
-		err = put(rows.Key{Table: audits, Name: fmt.Sprintf("%020d", a.Version)}, 0, a)
+		err = put(rows.Key{Table: auditTable, Name: fmt.Sprintf("%020d", a.Version)}, 0, a)
 	}
 	if err == nil {
-		err = put(rows.Key{Table: changes, Name: a.ID}, 0, a)
+		err = put(rows.Key{Table: changeTable, Name: a.ID}, 0, a)
 	}
 	if a.Spec == nil {
 		txn.If = append(txn.If, rows.Condition{Key: objectKey(a.Ref), Version: objectRow})
@@ -227,18 +227,18 @@
 		return txn, err
 	}
 	if err == nil {
-		err = put(objectKey(a.Ref), objectRow, objectOf(a))
+		err = put(objectKey(a.Ref), objectRow, newObject(a))
 	}
 	return txn, err
 }
 
-func objectOf(a Audit) object.Object {
+func newObject(a Audit) object.Object {
 	return object.Object{Ref: a.Ref, Version: a.To, Spec: a.Spec}
 }
 
 // History returns the audit trail, oldest first, of one object or, with an empty ref, of all.
 func (s *Store) History(ctx context.Context, r object.Ref) ([]Audit, error) {
-	page, err := s.rows.List(ctx, audits, "")
+	page, err := s.rows.List(ctx, auditTable, "")
 	if err != nil {
 		return nil, notRun(err)
 	}
--- a/internal/config/view/view.go
+++ b/internal/config/view/view.go
@@ -20,12 +20,12 @@
 
 // View is one version of the configuration.
 type View struct {
-	Version  ident.ConfigVersion
-	objects  []object.Object
-	pools    map[ident.Service][]labels.Selector
-	services map[ident.Service]object.Service
-	upstream map[ident.UpstreamName]object.Upstream
-	zones    map[ident.Zone]object.Zone
+	Version   ident.ConfigVersion
+	objects   []object.Object
+	pools     map[ident.Service][]labels.Selector
+	services  map[ident.Service]object.Service
+	upstreams map[ident.UpstreamName]object.Upstream
+	zones     map[ident.Zone]object.Zone
 }
 
 // New compiles objects, in the order of their names. Objects that can't be read are left out: they were checked
@@ -33,7 +33,7 @@
 func New(version ident.ConfigVersion, objects []object.Object) *View {
 	v := &View{
 		Version: version, objects: slices.Clone(objects), pools: make(map[ident.Service][]labels.Selector),
-		services: make(map[ident.Service]object.Service), upstream: make(map[ident.UpstreamName]object.Upstream),
+		services: make(map[ident.Service]object.Service), upstreams: make(map[ident.UpstreamName]object.Upstream),
 		zones: make(map[ident.Zone]object.Zone),
 	}
 	slices.SortFunc(v.objects, func(a, b object.Object) int { return cmp.Compare(a.Ref.String(), b.Ref.String()) })
@@ -55,7 +55,7 @@
 }
 
 // Get returns one object.
-func (v *View) Get(r object.Ref) (object.Object, bool) {
+func (v *View) Find(r object.Ref) (object.Object, bool) {
 	for _, o := range v.objects {
 		if o.Ref == r {
 			return o, true
@@ -68,7 +68,7 @@
 func (v *View) Objectives() []object.Objective {
 	var out []object.Objective
 	for _, o := range v.List(object.KindObjective) {
-		if x, err := object.As[object.Objective](o); err == nil {
+		if x, err := object.DecodeSpec[object.Objective](o); err == nil {
 			out = append(out, x)
 		}
 	}
@@ -78,11 +78,11 @@
 func (v *View) add(o object.Object) {
 	switch o.Kind {
 	case object.KindService:
-		if s, err := object.As[object.Service](o); err == nil {
+		if s, err := object.DecodeSpec[object.Service](o); err == nil {
 			v.services[ident.Service(o.Name)] = s
 		}
 	case object.KindPool:
-		p, err := object.As[object.Pool](o)
+		p, err := object.DecodeSpec[object.Pool](o)
 		if err != nil {
 			return
 		}
@@ -90,12 +90,12 @@
 			v.pools[ident.Service(p.Service)] = append(v.pools[ident.Service(p.Service)], sel)
 		}
 	case object.KindZone:
-		if z, err := object.As[object.Zone](o); err == nil {
+		if z, err := object.DecodeSpec[object.Zone](o); err == nil {
 			v.zones[ident.Zone(o.Name)] = z
 		}
 	case object.KindUpstream:
-		if u, err := object.As[object.Upstream](o); err == nil {
-			v.upstream[ident.UpstreamName(o.Name)] = u
+		if u, err := object.DecodeSpec[object.Upstream](o); err == nil {
+			v.upstreams[ident.UpstreamName(o.Name)] = u
 		}
 	}
 }
@@ -103,7 +103,7 @@
 // Serves tells whether configuration lets an upstream serve a service: neither it nor its zone is cordoned, and a pool of
 // the service selects it. A service without pools is served by every upstream that offers it.
 func (v *View) Serves(u ident.UpstreamName, zone ident.Zone, s ident.Service) bool {
-	if v.upstream[u].Cordoned || v.zones[zone].Cordoned {
+	if v.upstreams[u].Cordoned || v.zones[zone].Cordoned {
 		return false
 	}
 	pools := v.pools[s]
@@ -122,7 +122,7 @@
 // Labels returns all labels of an upstream.
 func (v *View) Labels(u ident.UpstreamName, zone ident.Zone) labels.Set {
 	set := labels.Set{}
-	for k, val := range v.upstream[u].Labels {
+	for k, val := range v.upstreams[u].Labels {
 		set[k] = val
 	}
 	set[LabelZone], set[LabelUpstream] = string(zone), string(u)
--- a/internal/core/crash/crash_test.go
+++ b/internal/core/crash/crash_test.go
@@ -21,19 +21,19 @@
 
 // beside is a crash while a task ran beside others, alone one while it was alone; each on a VM of its own unless two share a name.
 func beside(vm, life string, after time.Duration) fleet.Crash {
-	return fleet.Crash{Task: task, VM: ident.UpstreamName(vm), Life: ident.UpstreamLife{ID: ident.UpstreamID(life)}, Loss: 1, After: after}
+	return fleet.Crash{Task: task, VM: ident.UpstreamName(vm), Life: ident.UpstreamLife{ID: ident.UpstreamID(life)}, Loss: 1, Age: after}
 }
 
 func alone(vm, life string, after time.Duration) fleet.Crash {
 	c := beside(vm, life, after)
-	c.Alone, c.Sole = true, true
+	c.Alone, c.OnlyTask = true, true
 	return c
 }
 
 // aloneBeside is a crash while a task was alone, beside older ones.
 func aloneBeside(vm, life string, after time.Duration) fleet.Crash {
 	c := alone(vm, life, after)
-	c.Sole = false
+	c.OnlyTask = false
 	return c
 }
 
@@ -45,11 +45,11 @@
 }
 
 // whileLost returns an account of so many upstreams, others of which were lost to other causes.
-func whileLost(upstreams, others int) *crash.Account {
+func whileLost(upstreams, others int) *crash.Tracker {
 	a := crash.New(nil)
-	a.SetUpstreams(upstreams)
+	a.SetUpstreamCount(upstreams)
 	for i := range others {
-		a.Add(start, fleet.Crash{Task: other, VM: "x", Life: ident.UpstreamLife{ID: ident.UpstreamID(fmt.Sprint("x", i))}, After: time.Second})
+		a.Add(start, fleet.Crash{Task: other, VM: "x", Life: ident.UpstreamLife{ID: ident.UpstreamID(fmt.Sprint("x", i))}, Age: time.Second})
 	}
 	return a
 }
@@ -113,7 +113,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := crash.New(nil)
-			a.SetUpstreams(11)
+			a.SetUpstreamCount(11)
 			for _, one := range c.all {
 				a.Add(start, one)
 			}
@@ -157,7 +157,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := crash.New(nil)
-			a.SetUpstreams(11)
+			a.SetUpstreamCount(11)
 			a.Add(start, beside("x", "x1", c.alone))
 			a.Add(start, beside("y", "y1", c.alone))
 			for i, after := range c.others {
@@ -237,7 +237,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := crash.New(nil)
-			a.SetUpstreams(11)
+			a.SetUpstreamCount(11)
 			for i, after := range c.beside {
 				a.Add(start, beside(fmt.Sprint("x", i), fmt.Sprint("x", i, "-1"), after))
 			}
@@ -302,7 +302,7 @@
 func TestManyCrashes(t *testing.T) {
 	for _, n := range []int{7, 8, 20, 40} {
 		a := crash.New(nil)
-		a.SetUpstreams(100)
+		a.SetUpstreamCount(100)
 		for i := range n {
 			a.Add(start, beside(fmt.Sprint("x", i), fmt.Sprint("x", i, "-1"), time.Duration(i+1)*time.Second))
 		}
@@ -326,15 +326,15 @@
 	a.Add(start, newer)
 	a.Add(start, alone("b", "b1", ms))
 	a.Add(start, withAgent("a", "a4"))
-	qt.Assert(t, a.On(start, "a"), qt.DeepEquals, []fleet.Crash{newer, older, first})
-	qt.Assert(t, a.On(start.Add(crash.KeepFor), "a"), qt.HasLen, 0)
+	qt.Assert(t, a.CrashesOn(start, "a"), qt.DeepEquals, []fleet.Crash{newer, older, first})
+	qt.Assert(t, a.CrashesOn(start.Add(crash.Retention), "a"), qt.HasLen, 0)
 	for i := range 40 {
 		c := beside("a", fmt.Sprint("x", i), late)
 		c.Task.Job, c.Loss = job.ID(100+i), fleet.LossNumber(4+i)
 		a.Add(start, c)
 	}
-	qt.Assert(t, a.On(start, "a"), qt.HasLen, 32)
-	qt.Assert(t, a.On(start, "a")[0].Loss, qt.Equals, fleet.LossNumber(43))
+	qt.Assert(t, a.CrashesOn(start, "a"), qt.HasLen, 32)
+	qt.Assert(t, a.CrashesOn(start, "a")[0].Loss, qt.Equals, fleet.LossNumber(43))
 }
 
 // TestAlone: a task is alone until it has outlived the point at which upstreams were lost.
@@ -344,7 +344,7 @@
 		a.Add(start, beside("a", "a1", after))
 		a.Add(start, beside("b", "b1", after))
 		qt.Assert(t, a.Finding(task), qt.Equals, crash.Suspected)
-		qt.Assert(t, a.Alone(task) >= after+crash.Prompt, qt.IsTrue, qt.Commentf("after %v: %v", after, a.Alone(task)))
+		qt.Assert(t, a.AloneFor(task) >= after+crash.PromptAge, qt.IsTrue, qt.Commentf("after %v: %v", after, a.AloneFor(task)))
 	}
 }
 
@@ -352,16 +352,16 @@
 // stood still, has not outlived the point of an earlier loss, and agrees with it.
 func TestAgesAcrossStandstills(t *testing.T) {
 	a := crash.New(nil)
-	a.SetUpstreams(10)
+	a.SetUpstreamCount(10)
 	unsure := beside("c", "c1", 100*ms)
-	unsure.Until = 2400 * ms
+	unsure.MaxAge = 2400 * ms
 	for _, c := range []fleet.Crash{beside("a", "a1", 280*ms), unsure} {
 		a.Add(start, c)
 	}
 	qt.Assert(t, a.Finding(task), qt.Equals, crash.Suspected)
-	unsure.After, unsure.Until = 2400*ms, 0
+	unsure.Age, unsure.MaxAge = 2400*ms, 0
 	b := crash.New(nil)
-	b.SetUpstreams(10)
+	b.SetUpstreamCount(10)
 	for _, c := range []fleet.Crash{beside("a", "a1", 280*ms), unsure} {
 		b.Add(start, c)
 	}
--- a/internal/core/fleet/crash.go
+++ b/internal/core/fleet/crash.go
@@ -16,13 +16,13 @@
 	// Loss tells the losses of one life apart; it is zero where an entry has found that the life was lost with its agent.
 	Loss LossNumber
 	// After is how old the task's run was when the upstream was last heard.
-	After time.Duration
+	Age time.Duration
 	// Until is how old it was at most, where its agent stood still between; zero is as old as questions and answers that are in time leave open.
-	Until time.Duration
+	MaxAge time.Duration
 	// Alone: nothing had been started at the upstream shortly before the task or since.
 	Alone bool
 	// Sole: it was alone, and nothing else was left there.
-	Sole bool
+	OnlyTask bool
 }
 
 // LossNumber rises with each loss of a life: one that was merely out of reach may be lost again. It is the time of day, in Unix milliseconds.
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -34,7 +34,7 @@
 func (s State) Accepts() bool { return s == Ready || s == Probing }
 
 // Settled tells whether in this state all that runs at the upstream is known.
-func (s State) Settled() bool { return s.Accepts() || s == Cordoned }
+func (s State) RunsKnown() bool { return s.Accepts() || s == Cordoned }
 
 // Upstream describes the upstream beside an agent.
 type Upstream struct {
@@ -45,7 +45,7 @@
 }
 
 // Has tells whether the upstream carries a label; every upstream carries the empty one.
-func (u *Upstream) Has(l job.Label) bool {
+func (u *Upstream) HasLabel(l job.Label) bool {
 	return l == "" || slices.Contains(u.Labels, l)
 }
 
@@ -93,7 +93,7 @@
 	Checkpoint string
 	// Alone is for how long after the task's start nothing else may be started at the upstream; zero is not at all. An order has
 	// one such task and no others.
-	Alone time.Duration
+	AloneFor time.Duration
 }
 
 // Task returns the id of one task of the order.
@@ -180,7 +180,7 @@
 }
 
 // SlowClock is how much longer a time lasts on an upstream's clock that runs slow: the platform allows 2%.
-const SlowClock = 1.02
+const MaxClockRatio = 1.02
 
 const (
 	// killTime is the upstream's own time to kill a lapsed run: stop_ms on all deployments seen.
@@ -190,14 +190,14 @@
 )
 
 // SettleAfter is how long after an entry last heard an agent's clock no run of that entry remains there.
-func (t Timing) SettleAfter() time.Duration { return t.Silence + t.StoppedWithin() }
+func (t Timing) SettleAfter() time.Duration { return t.Silence + t.StopBound() }
 
 // StoppedWithin is how long after an agent has begun to stop a run that nobody wants any more it is gone.
-func (t Timing) StoppedWithin() time.Duration {
+func (t Timing) StopBound() time.Duration {
 	return t.StopBudget + LeaseBound(t.Lease) + killTime + TimerMargin
 }
 
 // LeaseBound is how long a lease can last by a true clock.
 func LeaseBound(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease) * SlowClock)
+	return time.Duration(float64(lease) * MaxClockRatio)
 }
--- a/internal/core/fleet/takeover.go
+++ b/internal/core/fleet/takeover.go
@@ -9,7 +9,7 @@
 type Takeover struct {
 	Job job.ID
 	// Holder is the entry that held it, By the one that its caller has gone to.
-	Holder, By ident.Incarnation
+	Holder, NewHolder ident.Incarnation
 }
 
 // Released says that nothing of a job remains which another entry takes over.
--- a/internal/core/follow/follow.go
+++ b/internal/core/follow/follow.go
@@ -23,29 +23,29 @@
 // The pauses after a failed reading: short at first, because an outage is often over at once, and no longer
 // than the shortest bound on putting a configuration in force (2 s) allows after the store's return.
 const (
-	firstPause = 50 * time.Millisecond
-	maxPause   = 500 * time.Millisecond
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
 )
 
 // restPoll is how often a follower that rests, or waits for a change, looks whether it is to go on so.
-const restPoll = 100 * time.Millisecond
+const idlePoll = 100 * time.Millisecond
 
 // Options say how a table is followed. The zero value reads each change at once.
 type Options struct {
 	// Gather says how long to wait after a change until the next is asked for, so that those of that time are read together: where many
 	// rows change at once, each process would otherwise read once for each of them. Nil is not at all.
-	Gather func() time.Duration
+	BatchDelay func() time.Duration
 	// Wait says how long one call waits for changes, where that is not always the same. Nil is what New was given.
-	Wait func() time.Duration
+	WatchTimeout func() time.Duration
 	// Rest tells whether the table need not be read now, since others tell this process what is in it. Nil is never.
-	Rest func() bool
+	Idle func() bool
 }
 
 // Changes are what one reading of a table has brought.
 type Changes struct {
 	// Rows are new or were removed; with Whole they are all that there are.
-	Rows  []rows.Row
-	Whole bool
+	Rows     []rows.Row
+	Complete bool
 	// Version is the store's version up to which the table is known now.
 	Version rows.Version
 	// Now is the store's steady clock.
@@ -53,7 +53,7 @@
 }
 
 // Change takes in changes.
-type Change func(c Changes)
+type Handler func(c Changes)
 
 // Follower follows one table.
 type Follower struct {
@@ -61,7 +61,7 @@
 	table  rows.Table
 	parts  []string
 	wait   time.Duration
-	change Change
+	handle Handler
 	log    *logrus.Entry
 	opts   Options
 
@@ -71,20 +71,20 @@
 	current atomic.Bool
 
 	// The goroutine that run is on owns what follows. at is the version up to which the table is known.
-	at      rows.Version
-	known   bool
+	version rows.Version
+	loaded  bool
 	failing bool
 }
 
 // Whole is the part of tables that are not divided.
-var Whole = []string{""}
+var SinglePart = []string{""}
 
 // New returns a Follower of a table with some parts that has not begun. wait bounds one call that waits for changes. A store whose
 // connection falls silent is noticed by the connection, within two seconds; one that takes the call and never answers, only after wait:
 // a change is noticed that much later then.
-func New(s Store, table rows.Table, parts []string, wait time.Duration, c Change, log *logrus.Entry) *Follower {
+func New(s Store, table rows.Table, parts []string, wait time.Duration, c Handler, log *logrus.Entry) *Follower {
 	return &Follower{
-		store: s, table: table, parts: parts, wait: wait, change: c, log: log.WithField("table", string(table)),
+		store: s, table: table, parts: parts, wait: wait, handle: c, log: log.WithField("table", string(table)),
 		done: make(chan struct{}),
 	}
 }
@@ -115,22 +115,22 @@
 // run reads until ctx ends, with a growing pause between failures.
 func (f *Follower) run(ctx context.Context) {
 	defer close(f.done)
-	pause := firstPause
-	for f.rest(ctx); ctx.Err() == nil; f.rest(ctx) {
-		changed, err := f.read(ctx)
+	pause := minBackoff
+	for f.waitWhileIdle(ctx); ctx.Err() == nil; f.waitWhileIdle(ctx) {
+		changed, err := f.pollUnlessIdle(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		f.note(err)
+		f.recordResult(err)
 		switch {
 		case err != nil:
 			sleep(ctx, jitter(pause))
-			pause = min(2*pause, maxPause)
+			pause = min(2*pause, maxBackoff)
 			continue
-		case changed && f.opts.Gather != nil:
-			sleep(ctx, f.opts.Gather())
+		case changed && f.opts.BatchDelay != nil:
+			sleep(ctx, f.opts.BatchDelay())
 		}
-		pause = firstPause
+		pause = minBackoff
 	}
 }
 
@@ -149,32 +149,32 @@
 }
 
 // rests tells whether the table need not be read.
-func (f *Follower) rests() bool { return f.opts.Rest != nil && f.opts.Rest() }
+func (f *Follower) isIdle() bool { return f.opts.Idle != nil && f.opts.Idle() }
 
 // rest waits while the table need not be read.
-func (f *Follower) rest(ctx context.Context) {
-	for ctx.Err() == nil && f.rests() {
+func (f *Follower) waitWhileIdle(ctx context.Context) {
+	for ctx.Err() == nil && f.isIdle() {
 		f.current.Store(false)
-		sleep(ctx, restPoll)
+		sleep(ctx, idlePoll)
 	}
 }
 
 // read is a step that ends early once the table need not be read any more.
-func (f *Follower) read(ctx context.Context) (changed bool, err error) {
-	if f.opts.Rest == nil {
-		return f.step(ctx)
+func (f *Follower) pollUnlessIdle(ctx context.Context) (changed bool, err error) {
+	if f.opts.Idle == nil {
+		return f.poll(ctx)
 	}
 	reading, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		for reading.Err() == nil {
-			sleep(reading, restPoll)
-			if f.rests() {
+			sleep(reading, idlePoll)
+			if f.isIdle() {
 				cancel()
 			}
 		}
 	}()
-	changed, err = f.step(reading)
+	changed, err = f.poll(reading)
 	if err != nil && reading.Err() != nil {
 		return false, nil
 	}
@@ -182,30 +182,30 @@
 }
 
 // step reads the whole table, or waits for changes, and tells whether there were any.
-func (f *Follower) step(ctx context.Context) (changed bool, err error) {
-	if !f.known {
+func (f *Follower) poll(ctx context.Context) (changed bool, err error) {
+	if !f.loaded {
 		return true, f.readWhole(ctx)
 	}
-	page, err := f.store.Watch(ctx, f.table, f.at, f.waits())
+	page, err := f.store.Watch(ctx, f.table, f.version, f.watchTimeout())
 	if errors.Is(err, rows.ErrHistoryGone) {
-		f.known = false
-		f.log.WithField("version", uint64(f.at)).Info("store_history_gone")
+		f.loaded = false
+		f.log.WithField("version", uint64(f.version)).Info("store_history_gone")
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	f.at = max(f.at, page.Version)
+	f.version = max(f.version, page.Version)
 	if len(page.Rows) > 0 {
-		f.change(Changes{Rows: page.Rows, Version: f.at, Now: page.Now})
+		f.handle(Changes{Rows: page.Rows, Version: f.version, Now: page.Now})
 	}
 	return len(page.Rows) > 0, nil
 }
 
 // waits is how long the next call waits for changes.
-func (f *Follower) waits() time.Duration {
-	if f.opts.Wait != nil {
-		return f.opts.Wait()
+func (f *Follower) watchTimeout() time.Duration {
+	if f.opts.WatchTimeout != nil {
+		return f.opts.WatchTimeout()
 	}
 	return f.wait
 }
@@ -223,14 +223,14 @@
 		}
 		all.Rows, all.Now = append(all.Rows, page.Rows...), page.Now
 	}
-	f.at, f.known = all.Version, true
-	f.change(Changes{Rows: all.Rows, Whole: true, Version: f.at, Now: all.Now})
+	f.version, f.loaded = all.Version, true
+	f.handle(Changes{Rows: all.Rows, Complete: true, Version: f.version, Now: all.Now})
 	return nil
 }
 
 // note logs when the table becomes unreadable, and when it is readable again.
-func (f *Follower) note(err error) {
-	f.current.Store(err == nil && f.known)
+func (f *Follower) recordResult(err error) {
+	f.current.Store(err == nil && f.loaded)
 	if (err != nil) == f.failing {
 		return
 	}
--- a/internal/core/follow/follow_test.go
+++ b/internal/core/follow/follow_test.go
@@ -95,7 +95,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	k := &known{rows: make(map[string]bool)}
-	f := follow.New(s, table, follow.Whole, 10*time.Second, k.change, logrus.NewEntry(log)).With(o)
+	f := follow.New(s, table, follow.SinglePart, 10*time.Second, k.change, logrus.NewEntry(log)).With(o)
 	qt.Assert(t, f.Start(context.Background()), qt.IsNil)
 	t.Cleanup(f.Stop)
 	return f, k
@@ -119,7 +119,7 @@
 	for _, n := range []int{100, 200} {
 		s := newStore()
 		var rows atomic.Int64
-		f, k := start(t, s, follow.Options{Gather: func() time.Duration { return time.Duration(rows.Load()) * each }})
+		f, k := start(t, s, follow.Options{BatchDelay: func() time.Duration { return time.Duration(rows.Load()) * each }})
 		eventually(t, "first reading", f.Current)
 		for range n {
 			s.add()
@@ -136,7 +136,7 @@
 // TestFirstChangeIsReadAtOnce: what is gathered comes after the first change.
 func TestFirstChangeIsReadAtOnce(t *testing.T) {
 	s := newStore()
-	f, k := start(t, s, follow.Options{Gather: func() time.Duration { return 0 }})
+	f, k := start(t, s, follow.Options{BatchDelay: func() time.Duration { return 0 }})
 	eventually(t, "first reading", f.Current)
 	s.add()
 	eventually(t, "the row", func() bool { return k.len() == 1 })
@@ -146,7 +146,7 @@
 func TestRest(t *testing.T) {
 	s := newStore()
 	var rest atomic.Bool
-	f, k := start(t, s, follow.Options{Rest: rest.Load})
+	f, k := start(t, s, follow.Options{Idle: rest.Load})
 	eventually(t, "first reading", f.Current)
 	rest.Store(true)
 	eventually(t, "rest", func() bool { return !f.Current() })
--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -55,13 +55,13 @@
 type Run uint32
 
 // RunsEach is how many numbers of runs each generation of a kept job has: far more than one entry starts a task.
-const RunsEach = 1024
+const RunsPerGeneration = 1024
 
 // Follows tells whether a run is the next of its task after another that ended: by its number, or as the first of the
 // generation after it. Otherwise the task may have started elsewhere in between.
 func (r Run) Follows(ended Run) bool {
-	first := (r-1)%RunsEach == 0
-	return r == ended+1 || first && ended < r && r-ended <= RunsEach
+	first := (r-1)%RunsPerGeneration == 0
+	return r == ended+1 || first && ended < r && r-ended <= RunsPerGeneration
 }
 
 // Resources is an amount of processor, memory and accelerators.
@@ -120,7 +120,7 @@
 }
 
 // Tasks returns how many tasks the job has.
-func (s *Spec) Tasks() int {
+func (s *Spec) TaskCount() int {
 	n := 0
 	for _, step := range s.Steps {
 		n += int(step.Count)
@@ -129,7 +129,7 @@
 }
 
 // Chain returns the estimated time of the longest chain of steps.
-func (s *Spec) Chain() time.Duration {
+func (s *Spec) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(s.Steps))
 	var longest time.Duration
 	for i, step := range s.Steps {
--- a/internal/core/probed/probed_test.go
+++ b/internal/core/keepalive/probed_test.go
@@ -1,4 +1,4 @@
-package probed_test
+package keepalive_test
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"hillreel/internal/core/probed"
+	"hillreel/internal/core/keepalive"
 	"hillreel/internal/standin/silence"
 )
 
@@ -25,13 +25,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			ln, err := probed.Brief.Listener().Listen(context.Background(), "tcp", "127.0.0.1:0")
+			ln, err := keepalive.Short.Listener().Listen(context.Background(), "tcp", "127.0.0.1:0")
 			qt.Assert(t, err, qt.IsNil)
 			defer ln.Close()
 			p, err := silence.New("127.0.0.1:0", ln.Addr().String())
 			qt.Assert(t, err, qt.IsNil)
 			defer p.Close()
-			near, err := probed.Brief.Dialer(time.Second).Dial("tcp", p.Address())
+			near, err := keepalive.Short.Dialer(time.Second).Dial("tcp", p.Address())
 			qt.Assert(t, err, qt.IsNil)
 			far, err := ln.Accept()
 			qt.Assert(t, err, qt.IsNil)
@@ -54,7 +54,7 @@
 				qt.Assert(t, <-ended, qt.IsNotNil)
 				t.Logf("ended after %v", time.Since(began))
 			}
-			qt.Assert(t, time.Since(began) < time.Duration(probed.Brief)+time.Second+200*time.Millisecond, qt.IsTrue)
+			qt.Assert(t, time.Since(began) < time.Duration(keepalive.Short)+time.Second+200*time.Millisecond, qt.IsTrue)
 		})
 	}
 }
--- a/internal/core/logs/logs.go
+++ b/internal/core/logs/logs.go
@@ -20,7 +20,7 @@
 const backlog = 1024
 
 // burst is how many seconds' worth of lines may come at once.
-const burst = 5
+const burstSeconds = 5
 
 // Writer passes lines on to another writer without ever blocking its caller.
 type Writer struct {
@@ -30,15 +30,15 @@
 	// pending counts the lines that wait to be written, or are being written.
 	pending atomic.Int64
 
-	mu     sync.Mutex
-	tokens float64
-	filled time.Time
+	mu       sync.Mutex
+	tokens   float64
+	refilled time.Time
 }
 
 // NewWriter returns a Writer that passes on at most rate lines a second, over a few seconds.
 func NewWriter(out io.Writer, rate int) *Writer {
 	w := &Writer{
-		out: out, lines: make(chan []byte, backlog), rate: float64(rate), tokens: float64(rate * burst), filled: time.Now(),
+		out: out, lines: make(chan []byte, backlog), rate: float64(rate), tokens: float64(rate * burstSeconds), refilled: time.Now(),
 	}
 	go w.run()
 	return w
@@ -46,7 +46,7 @@
 
 // Write queues a line. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
-	if !w.take(time.Now()) {
+	if !w.takeToken(time.Now()) {
 		dropped.Add(1)
 		return len(line), nil
 	}
@@ -70,11 +70,11 @@
 	}
 }
 
-func (w *Writer) take(now time.Time) bool {
+func (w *Writer) takeToken(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.tokens = min(w.tokens+now.Sub(w.filled).Seconds()*w.rate, w.rate*burst)
-	w.filled = now
+	w.tokens = min(w.tokens+now.Sub(w.refilled).Seconds()*w.rate, w.rate*burstSeconds)
+	w.refilled = now
 	if w.tokens < 1 {
 		return false
 	}
--- a/internal/core/metrics/margins.go
+++ b/internal/core/metrics/margins.go
@@ -21,19 +21,19 @@
 
 // NewMargins returns an empty set, published under a name unless another set already is.
 func NewMargins(name string) *Margins {
-	publishing.Lock()
-	defer publishing.Unlock()
-	if m := margins[name]; m != nil {
+	registryMu.Lock()
+	defer registryMu.Unlock()
+	if m := marginSets[name]; m != nil {
 		return m
 	}
 	m := &Margins{keys: make(map[string]*margin)}
-	margins[name] = m
+	marginSets[name] = m
 	expvar.Publish(name, expvar.Func(m.report))
 	return m
 }
 
 // margins are the sets by name; publishing guards them.
-var margins = make(map[string]*Margins)
+var marginSets = make(map[string]*Margins)
 
 // Record adds one time to those of a key, and what is promised of it.
 func (m *Margins) Record(key string, seen, promised time.Duration) {
--- a/internal/core/metrics/metrics.go
+++ b/internal/core/metrics/metrics.go
@@ -13,8 +13,8 @@
 // NewCounters publishes an empty set of counters under a name. A process that asks again, as one with several nodes
 // does, gets the same set.
 func NewCounters(name string) *Counters {
-	publishing.Lock()
-	defer publishing.Unlock()
+	registryMu.Lock()
+	defer registryMu.Unlock()
 	if v, ok := expvar.Get(name).(*expvar.Map); ok {
 		return &Counters{v}
 	}
@@ -32,39 +32,39 @@
 
 // NewLatencies returns an empty set of histograms, published under a name unless another set already is.
 func NewLatencies(name string) *Latencies {
-	publishing.Lock()
-	defer publishing.Unlock()
-	if l := published[name]; l != nil {
+	registryMu.Lock()
+	defer registryMu.Unlock()
+	if l := latencySets[name]; l != nil {
 		return l
 	}
 	l := &Latencies{keys: make(map[string]*Histogram)}
-	published[name] = l
+	latencySets[name] = l
 	expvar.Publish(name, expvar.Func(l.report))
 	return l
 }
 
 // Report publishes what f returns, under a name; of several nodes of one process the newest is reported.
 func Report(name string, f func() any) {
-	publishing.Lock()
-	defer publishing.Unlock()
+	registryMu.Lock()
+	defer registryMu.Unlock()
 	if _, known := reports[name]; !known {
-		expvar.Publish(name, expvar.Func(func() any { return reportOf(name)() }))
+		expvar.Publish(name, expvar.Func(func() any { return reporter(name)() }))
 	}
 	reports[name] = f
 }
 
 // reportOf returns what is reported under a name now.
-func reportOf(name string) func() any {
-	publishing.Lock()
-	defer publishing.Unlock()
+func reporter(name string) func() any {
+	registryMu.Lock()
+	defer registryMu.Unlock()
 	return reports[name]
 }
 
 // publishing lets one goroutine at a time look for a set and publish it; published holds the histograms by name, for processes
 // with several nodes, which share them.
 var (
-	publishing sync.Mutex
-	published  = make(map[string]*Latencies)
+	registryMu  sync.Mutex
+	latencySets = make(map[string]*Latencies)
 	// reports are the functions whose results are served, by name.
 	reports = make(map[string]func() any)
 )
--- a/internal/core/ops/ops.go
+++ b/internal/core/ops/ops.go
@@ -19,7 +19,7 @@
 
 // Handler serves health and metrics to everybody, and routes to bearers of a token; routes may be nil.
 func Handler(tokens []Token, ready func() (bool, string), routes func(chi.Router)) http.Handler {
-	s := &server{tokens}
+	s := &authorizer{tokens}
 	r := chi.NewRouter()
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) {
 		w.Write([]byte("alive\n")) //nolint:errcheck // the caller has gone
@@ -36,10 +36,10 @@
 }
 
 // server checks tokens.
-type server struct{ tokens []Token }
+type authorizer struct{ tokens []Token }
 
 // authorize lets only bearers of a token pass; without a token in the settings, nobody does.
-func (s *server) authorize(next http.Handler) http.Handler {
+func (s *authorizer) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		given, isBearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		for _, t := range s.tokens {
--- a/internal/core/rule/rule.go
+++ b/internal/core/rule/rule.go
@@ -89,4 +89,4 @@
 }
 
 // Off tells whether a rule is left out.
-func (s Set) Off(r Rule) bool { return s[r] }
+func (s Set) Has(r Rule) bool { return s[r] }
--- a/internal/core/settings/options.go
+++ b/internal/core/settings/options.go
@@ -81,10 +81,10 @@
 // Quiet is how long a silent link is kept. Messages come each keep_alive and a tick: with the defaults, 250 ms bear a tenth of
 // a second in which the other side stood still, as under a quota of processor time, and leave 150 ms to dial anew before runs are
 // given up.
-func (l Links) Quiet() time.Duration { return l.Silence * quietEighths / 8 }
+func (l Links) LinkTimeout() time.Duration { return l.Silence * linkTimeoutEighths / 8 }
 
 // quietEighths is the share of silence after which a silent link is given up.
-const quietEighths = 5
+const linkTimeoutEighths = 5
 
 // Timing returns the times that entries and agents share.
 func (l Links) Timing() fleet.Timing {
@@ -132,7 +132,7 @@
 const LeaveReserve = 700 * time.Millisecond
 
 // conflicts finds combinations that can't work.
-func (s *Settings) conflicts(file string) []*Error {
+func (s *Settings) findConflicts(file string) []*Error {
 	var out []*Error
 	add := func(section, key, reason string) { out = append(out, &Error{file, section, key, reason}) }
 	if s.Links.Silence <= 2*s.Links.KeepAlive {
--- a/internal/core/settings/settings.go
+++ b/internal/core/settings/settings.go
@@ -46,7 +46,7 @@
 func Load(file string) (*Settings, error) {
 	s := &Settings{}
 	l := &loader{file: file}
-	l.defaults(s)
+	l.applyDefaults(s)
 	if file != "" {
 		raw, err := os.ReadFile(file)
 		if err != nil {
@@ -55,7 +55,7 @@
 		l.parse(s, raw)
 	}
 	if len(l.problems) == 0 {
-		l.problems = append(l.problems, s.conflicts(file)...)
+		l.problems = append(l.problems, s.findConflicts(file)...)
 	}
 	return s, l.err()
 }
@@ -64,10 +64,10 @@
 func Parse(name, text string) (*Settings, error) {
 	s := &Settings{}
 	l := &loader{file: name}
-	l.defaults(s)
+	l.applyDefaults(s)
 	l.parse(s, []byte(text))
 	if len(l.problems) == 0 {
-		l.problems = append(l.problems, s.conflicts(name)...)
+		l.problems = append(l.problems, s.findConflicts(name)...)
 	}
 	return s, l.err()
 }
@@ -78,9 +78,9 @@
 		if o.section != section || o.key != key {
 			continue
 		}
-		reason := set(o.value, text)
+		reason := parseInto(o.value, text)
 		if reason == "" {
-			reason = o.outOfRange()
+			reason = o.checkRange()
 		}
 		if reason == "" {
 			return nil
@@ -106,14 +106,14 @@
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-func (l *loader) problem(section, key, reason string) {
+func (l *loader) addProblem(section, key, reason string) {
 	l.problems = append(l.problems, &Error{l.file, section, key, reason})
 }
 
-func (l *loader) defaults(s *Settings) {
+func (l *loader) applyDefaults(s *Settings) {
 	for _, o := range options(s) {
-		if reason := set(o.value, o.def); reason != "" {
-			l.problem(o.section, o.key, "default: "+reason)
+		if reason := parseInto(o.value, o.def); reason != "" {
+			l.addProblem(o.section, o.key, "default: "+reason)
 		}
 	}
 }
@@ -121,7 +121,7 @@
 func (l *loader) parse(s *Settings, raw []byte) {
 	f, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, AllowDuplicateShadowValues: true}, raw)
 	if err != nil {
-		l.problem("", "", "not INI: "+err.Error())
+		l.addProblem("", "", "not INI: "+err.Error())
 		return
 	}
 	known := make(map[string]option)
@@ -135,7 +135,7 @@
 			continue
 		}
 		if !sections[section.Name()] {
-			l.problem(section.Name(), "", "no such section")
+			l.addProblem(section.Name(), "", "no such section")
 			continue
 		}
 		l.parseSection(section, known)
@@ -146,19 +146,19 @@
 	for _, key := range section.Keys() {
 		o, ok := known[section.Name()+"\n"+key.Name()]
 		if !ok {
-			l.problem(section.Name(), key.Name(), "no such option")
+			l.addProblem(section.Name(), key.Name(), "no such option")
 			continue
 		}
 		if len(key.ValueWithShadows()) > 1 {
-			l.problem(section.Name(), key.Name(), "given more than once")
+			l.addProblem(section.Name(), key.Name(), "given more than once")
 			continue
 		}
-		if reason := set(o.value, key.Value()); reason != "" {
-			l.problem(section.Name(), key.Name(), reason)
+		if reason := parseInto(o.value, key.Value()); reason != "" {
+			l.addProblem(section.Name(), key.Name(), reason)
 			continue
 		}
-		if reason := o.outOfRange(); reason != "" {
-			l.problem(section.Name(), key.Name(), reason)
+		if reason := o.checkRange(); reason != "" {
+			l.addProblem(section.Name(), key.Name(), reason)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 }
 
 // set parses text into a field and returns the reason when it can't. A secret's text is never repeated.
-func set(v reflect.Value, text string) string {
+func parseInto(v reflect.Value, text string) string {
 	text = strings.TrimSpace(text)
 	switch v.Interface().(type) {
 	case Secret, string:
@@ -286,12 +286,12 @@
 }
 
 // outOfRange compares the value with the bounds in its tags.
-func (o option) outOfRange() string {
+func (o option) checkRange() string {
 	limit := reflect.New(o.value.Type()).Elem()
-	if o.min != "" && set(limit, o.min) == "" && o.value.Int() < limit.Int() {
+	if o.min != "" && parseInto(limit, o.min) == "" && o.value.Int() < limit.Int() {
 		return "must be at least " + o.min
 	}
-	if o.max != "" && set(limit, o.max) == "" && o.value.Int() > limit.Int() {
+	if o.max != "" && parseInto(limit, o.max) == "" && o.value.Int() > limit.Int() {
 		return "must be at most " + o.max
 	}
 	return ""
--- a/internal/core/patience/patience_test.go
+++ b/internal/core/timeout/patience_test.go
@@ -1,4 +1,4 @@
-package patience_test
+package timeout_test
 
 import (
 	"testing"
@@ -6,20 +6,20 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"hillreel/internal/core/patience"
+	"hillreel/internal/core/timeout"
 )
 
 // TestRaise: what is known of the peer from elsewhere counts at once, and is unlearned with quick answers.
 func TestRaise(t *testing.T) {
-	p := patience.New(5, 50*time.Millisecond, time.Second)
-	p.Learn(10 * time.Millisecond)
+	p := timeout.New(5, 50*time.Millisecond, time.Second)
+	p.Observe(10 * time.Millisecond)
 	qt.Assert(t, p.Limit(), qt.Equals, 50*time.Millisecond)
-	p.Raise(150 * time.Millisecond)
+	p.RaiseTo(150 * time.Millisecond)
 	qt.Assert(t, p.Limit(), qt.Equals, 750*time.Millisecond)
-	p.Raise(time.Millisecond)
+	p.RaiseTo(time.Millisecond)
 	qt.Assert(t, p.Limit(), qt.Equals, 750*time.Millisecond)
 	for range 100 {
-		p.Learn(5 * time.Millisecond)
+		p.Observe(5 * time.Millisecond)
 	}
 	qt.Assert(t, p.Limit(), qt.Equals, 50*time.Millisecond)
 }
@@ -40,14 +40,14 @@
 		{"slower than the least limit", 40 * time.Millisecond, 0, 150 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			p := patience.New(20, 25*time.Millisecond, 150*time.Millisecond)
+			p := timeout.New(20, 25*time.Millisecond, 150*time.Millisecond)
 			for i := range 200 {
 				limit := p.Limit()
 				if test.took > limit || test.lost > 0 && i%test.lost == 0 {
-					p.Missed(limit)
+					p.ObserveTimeout(limit)
 					continue
 				}
-				p.Learn(test.took)
+				p.Observe(test.took)
 			}
 			got := p.Limit()
 			qt.Assert(t, got > test.want*9/10 && got < test.want*12/10, qt.IsTrue, qt.Commentf("%v", got))
--- a/internal/core/web/read_test.go
+++ b/internal/core/web/read_test.go
@@ -18,29 +18,29 @@
 )
 
 // counted is a connection that counts what the server has read.
-type counted struct {
+type countingConn struct {
 	net.Conn
 	read atomic.Int64
 }
 
-func (c *counted) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.read.Add(int64(n))
 	return n, err
 }
 
 // counting is a listener of such connections, by their callers' addresses.
-type counting struct {
+type countingListener struct {
 	net.Listener
 	by sync.Map
 }
 
-func (l *counting) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	out := &counted{Conn: c}
+	out := &countingConn{Conn: c}
 	l.by.Store(c.RemoteAddr().String(), out)
 	return out, nil
 }
@@ -48,21 +48,21 @@
 const (
 	callersAtOnce = 100
 	shutdowns     = 40
-	aRequest      = "PUT /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}"
+	rawRequest    = "PUT /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}"
 )
 
 // TestWhatIsReadIsAnswered: callers that use open connections send a request in the very moment in which the server shuts down.
 // Those whose request the server has read are answered; the others see that it was not read, and nothing of it has run.
-func TestWhatIsReadIsAnswered(t *testing.T) {
+func TestReadRequestsAreAnswered(t *testing.T) {
 	answered, unread := 0, 0
 	for round := range shutdowns {
 		s := New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body) //nolint:errcheck // the test notices
 			io.WriteString(w, "ok")     //nolint:errcheck // likewise
-		}), Small)
+		}), Internal)
 		plain, err := net.Listen("tcp", string(s.address))
 		qt.Assert(t, err, qt.IsNil)
-		ln := &counting{Listener: plain}
+		ln := &countingListener{Listener: plain}
 		s.serve(ln)
 		var conns []net.Conn
 		for range callersAtOnce {
@@ -84,7 +84,7 @@
 					return
 				}
 				seen, _ := ln.by.Load(c.LocalAddr().String())
-				if read := seen.(*counted).read.Load(); read == 2*int64(len(aRequest)) {
+				if read := seen.(*countingConn).read.Load(); read == 2*int64(len(rawRequest)) {
 					t.Errorf("round %d: a request was read whole and not answered: %v", round, err)
 				}
 				unread++
@@ -102,7 +102,7 @@
 
 // ask sends a request and reads its answer.
 func ask(c net.Conn) error {
-	if _, err := io.WriteString(c, aRequest); err != nil {
+	if _, err := io.WriteString(c, rawRequest); err != nil {
 		return err
 	}
 	if err := c.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
--- a/internal/core/web/shutdown.go
+++ b/internal/core/web/shutdown.go
@@ -15,15 +15,15 @@
 	state http.ConnState
 	since time.Time
 	// ending: it ends unless a request has been read on it.
-	ending bool
+	closing bool
 }
 
 const (
 	// firstRequest is how long after the opening of a connection its first request is waited for once listening has
 	// stopped: callers open one when they have something to send, and are 3 ms away.
-	firstRequest = 300 * time.Millisecond
+	firstRequestTimeout = 300 * time.Millisecond
 	// quietPoll is how often Shutdown looks whether requests are in progress.
-	quietPoll = 5 * time.Millisecond
+	shutdownPoll = 5 * time.Millisecond
 )
 
 // track notes the state of a connection. A request that begins on one that was to end is read and answered all the same.
@@ -34,14 +34,14 @@
 		delete(s.conns, c)
 		return
 	}
-	if state == http.StateActive && s.conns[c].ending {
-		s.readUntil(c, time.Now().Add(s.options.ReadTimeout))
+	if state == http.StateActive && s.conns[c].closing {
+		s.setReadDeadline(c, time.Now().Add(s.options.ReadTimeout))
 	}
 	s.conns[c] = connState{state: state, since: time.Now()}
 }
 
 // readUntil bounds the reading of a connection.
-func (s *Server) readUntil(c net.Conn, t time.Time) {
+func (s *Server) setReadDeadline(c net.Conn, t time.Time) {
 	c.SetReadDeadline(t) //nolint:errcheck // it has been closed meanwhile
 }
 
@@ -49,21 +49,21 @@
 func (s *Server) Leave() { s.leaving.Store(true) }
 
 // closing adds that wish to the answers of a handler.
-func (s *Server) closing(h http.Handler) http.Handler {
+func (s *Server) closeAfterLeave(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		h.ServeHTTP(&answer{ResponseWriter: w, leaving: &s.leaving}, r)
+		h.ServeHTTP(&responseWriter{ResponseWriter: w, leaving: &s.leaving}, r)
 	})
 }
 
 // answer is an answer that is written while the server may be leaving: what counts is when it begins, not when its request came.
-type answer struct {
+type responseWriter struct {
 	http.ResponseWriter
 	leaving *atomic.Bool
 	begun   bool
 }
 
 // begin sets the header while that has an effect.
-func (a *answer) begin() {
+func (a *responseWriter) beginResponse() {
 	if !a.begun && a.leaving.Load() {
 		a.Header().Set("Connection", "close")
 	}
@@ -71,14 +71,14 @@
 }
 
 // WriteHeader begins the answer.
-func (a *answer) WriteHeader(status int) {
-	a.begin()
+func (a *responseWriter) WriteHeader(status int) {
+	a.beginResponse()
 	a.ResponseWriter.WriteHeader(status)
 }
 
 // Write begins the answer if that has not been done, and writes its body.
-func (a *answer) Write(p []byte) (int, error) {
-	a.begin()
+func (a *responseWriter) Write(p []byte) (int, error) {
+	a.beginResponse()
 	return a.ResponseWriter.Write(p)
 }
 
@@ -89,12 +89,12 @@
 	s.Leave()
 	s.ln.Close() //nolint:errcheck // it is closed only here and, without effect, by the library
 	<-s.served   // a connection that was just accepted is known now
-	ticker := time.NewTicker(quietPoll)
+	ticker := time.NewTicker(shutdownPoll)
 	defer ticker.Stop()
-	for s.endUnused(time.Now()) > 0 {
+	for s.closeUnused(time.Now()) > 0 {
 		select {
 		case <-ctx.Done():
-			return s.cut(ctx.Err())
+			return s.inProgressError(ctx.Err())
 		case <-ticker.C:
 		}
 	}
@@ -105,23 +105,23 @@
 // endUnused lets the connections end on which nothing is in progress or on its way, and counts those that are left. A read
 // that has returned something by then is served: closing such a connection would drop requests that were read whole (340 of
 // 3,000 that were sent in the two milliseconds around it).
-func (s *Server) endUnused(now time.Time) int {
+func (s *Server) closeUnused(now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, is := range s.conns {
-		unused := is.state == http.StateIdle || is.state == http.StateNew && now.Sub(is.since) >= firstRequest
-		if !unused || is.ending {
+		unused := is.state == http.StateIdle || is.state == http.StateNew && now.Sub(is.since) >= firstRequestTimeout
+		if !unused || is.closing {
 			continue
 		}
-		is.ending = true
+		is.closing = true
 		s.conns[c] = is
-		s.readUntil(c, now)
+		s.setReadDeadline(c, now)
 	}
 	return len(s.conns)
 }
 
 // cut ends with requests in progress, and says how many.
-func (s *Server) cut(why error) error {
+func (s *Server) inProgressError(why error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
--- a/internal/core/web/shutdown_test.go
+++ b/internal/core/web/shutdown_test.go
@@ -21,7 +21,7 @@
 	s := web.New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(takes)
 		io.WriteString(w, "ok") //nolint:errcheck // the test notices
-	}), web.Small)
+	}), web.Internal)
 	qt.Assert(t, s.Start(context.Background()), qt.IsNil)
 	t.Cleanup(s.Stop)
 	return s
--- a/internal/core/web/web.go
+++ b/internal/core/web/web.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 	"golang.org/x/net/netutil"
 
-	"hillreel/internal/core/probed"
+	"hillreel/internal/core/keepalive"
 	"hillreel/internal/core/settings"
 )
 
@@ -29,20 +29,20 @@
 	MaxConnections int
 	// Silence is how long a client may say nothing, not even acknowledge what it was sent: a silent connection would otherwise
 	// count until IdleTimeout, and while a request of it is served for good.
-	Silence probed.Silence
+	KeepAlive keepalive.Timeout
 }
 
 // Small suits servers that only other processes of the platform or an operator call.
-var Small = Options{
+var Internal = Options{
 	HeaderTimeout: 3 * time.Second, ReadTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second, MaxHeader: 16 << 10,
-	MaxConnections: 64, Silence: probed.Brief,
+	MaxConnections: 64, KeepAlive: keepalive.Short,
 }
 
 // Operators suits servers for people and their tools, which may stop reading for a while in the middle of a long answer.
-var Operators = patient(Small)
+var Operators = withLongKeepAlive(Internal)
 
-func patient(o Options) Options {
-	o.Silence = probed.Patient
+func withLongKeepAlive(o Options) Options {
+	o.KeepAlive = keepalive.Long
 	return o
 }
 
@@ -67,7 +67,7 @@
 func New(name string, address settings.Address, h http.Handler, o Options) *Server {
 	s := &Server{name: name, address: address, options: o, served: make(chan struct{}), conns: make(map[net.Conn]connState)}
 	s.server = &http.Server{
-		Handler: s.closing(h), ReadHeaderTimeout: o.HeaderTimeout, ReadTimeout: o.ReadTimeout, IdleTimeout: o.IdleTimeout,
+		Handler: s.closeAfterLeave(h), ReadHeaderTimeout: o.HeaderTimeout, ReadTimeout: o.ReadTimeout, IdleTimeout: o.IdleTimeout,
 		MaxHeaderBytes: o.MaxHeader, ConnState: s.track,
 	}
 	return s
@@ -75,7 +75,7 @@
 
 // Start listens.
 func (s *Server) Start(ctx context.Context) error {
-	ln, err := s.options.Silence.Listener().Listen(ctx, "tcp", string(s.address))
+	ln, err := s.options.KeepAlive.Listener().Listen(ctx, "tcp", string(s.address))
 	if err != nil {
 		return errors.Wrapf(err, "listen for %s", s.name)
 	}
--- a/internal/core/web/web_test.go
+++ b/internal/core/web/web_test.go
@@ -20,7 +20,7 @@
 // at the most.
 func TestSilentConnections(t *testing.T) {
 	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }) //nolint:errcheck // see the client
-	s := web.New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), ok, web.Small)
+	s := web.New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), ok, web.Internal)
 	qt.Assert(t, s.Start(context.Background()), qt.IsNil)
 	defer s.Stop()
 	p, err := silence.New("127.0.0.1:0", s.Address())
@@ -36,12 +36,12 @@
 		_, err = io.ReadAll(res.Body)
 		return err
 	}
-	for range web.Small.MaxConnections {
+	for range web.Internal.MaxConnections {
 		qt.Assert(t, get(time.Second), qt.IsNil)
 	}
 	n, err := p.Silence()
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, n, qt.Equals, web.Small.MaxConnections)
+	qt.Assert(t, n, qt.Equals, web.Internal.MaxConnections)
 	began := time.Now()
 	qt.Assert(t, get(90*time.Second), qt.IsNil)
 	t.Logf("answered after %v", time.Since(began))
--- a/internal/entry/burn/burn.go
+++ b/internal/entry/burn/burn.go
@@ -15,8 +15,8 @@
 
 // step is the resolution of the windows, and steps how many are kept: six hours.
 const (
-	step  = 10 * time.Second
-	steps = 6 * 60 * 6
+	bucketSpan  = 10 * time.Second
+	bucketCount = 6 * 60 * 6
 )
 
 // Window is a span of time over which burn is reported.
@@ -44,28 +44,28 @@
 
 // ring holds one tally a step.
 type ring struct {
-	cells [steps]tally
+	buckets [bucketCount]tally
 	// newest counts steps since the zero time; older cells than steps before it are void.
 	newest int64
 }
 
-func (r *ring) at(now int64) *tally {
+func (r *ring) bucket(now int64) *tally {
 	for r.newest < now {
-		if now-r.newest > steps {
+		if now-r.newest > bucketCount {
 			*r = ring{newest: now}
 			break
 		}
 		r.newest++
-		r.cells[r.newest%steps] = tally{}
+		r.buckets[r.newest%bucketCount] = tally{}
 	}
-	return &r.cells[now%steps]
+	return &r.buckets[now%bucketCount]
 }
 
 func (r *ring) sum(now int64, span time.Duration) tally {
-	r.at(now)
+	r.bucket(now)
 	var out tally
-	for i := range min(int64(span/step), steps) {
-		c := r.cells[(now-i)%steps]
+	for i := range min(int64(span/bucketSpan), bucketCount) {
+		c := r.buckets[(now-i)%bucketCount]
 		out.jobs += c.jobs
 		out.incomplete += c.incomplete
 		out.slow += c.slow
@@ -73,10 +73,10 @@
 	return out
 }
 
-type key struct {
+type ringKey struct {
 	service ident.Service
 	// part is "", or upstream.
-	part, name string
+	kind, name string
 }
 
 // Objectives are the objectives in force.
@@ -87,16 +87,16 @@
 	now        func() time.Time
 	objectives Objectives
 	mu         sync.Mutex
-	rings      map[key]*ring
+	rings      map[ringKey]*ring
 }
 
 // New returns an empty Recorder.
 func New(now func() time.Time, o Objectives) *Recorder {
-	return &Recorder{now: now, objectives: o, rings: make(map[key]*ring)}
+	return &Recorder{now: now, objectives: o, rings: make(map[ringKey]*ring)}
 }
 
 // Ended counts a job.
-func (r *Recorder) Ended(j Job) {
+func (r *Recorder) RecordJob(j Job) {
 	within := 0.0
 	for _, o := range r.objectives() {
 		if ident.Service(o.Service) == j.Service {
@@ -109,14 +109,14 @@
 	slow := j.Complete && j.Took > time.Duration(within*float64(j.Longest))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.step()
-	add := func(k key) {
+	now := r.currentBucket()
+	add := func(k ringKey) {
 		x := r.rings[k]
 		if x == nil {
 			x = &ring{newest: now}
 			r.rings[k] = x
 		}
-		c := x.at(now)
+		c := x.bucket(now)
 		c.jobs++
 		if !j.Complete {
 			c.incomplete++
@@ -125,13 +125,13 @@
 			c.slow++
 		}
 	}
-	add(key{j.Service, "", ""})
+	add(ringKey{j.Service, "", ""})
 	for _, u := range j.Upstreams {
-		add(key{j.Service, "upstream", string(u)})
+		add(ringKey{j.Service, "upstream", string(u)})
 	}
 }
 
-func (r *Recorder) step() int64 { return r.now().UnixNano() / int64(step) }
+func (r *Recorder) currentBucket() int64 { return r.now().UnixNano() / int64(bucketSpan) }
 
 // Rate is the burn of one service in one window.
 type Rate struct {
@@ -143,8 +143,8 @@
 }
 
 // Culprit is an upstream with its part of the bad jobs of the last hour.
-type Culprit struct {
-	Part  string  `json:"part"`
+type Contributor struct {
+	Kind  string  `json:"part"`
 	Name  string  `json:"name"`
 	Bad   int     `json:"bad_jobs"`
 	Share float64 `json:"share_of_bad_jobs"`
@@ -152,13 +152,13 @@
 
 // Service is the report on one service.
 type Service struct {
-	Service  ident.Service `json:"service"`
-	Rates    []Rate        `json:"rates"`
-	Culprits []Culprit     `json:"culprits"`
+	Service      ident.Service `json:"service"`
+	Rates        []Rate        `json:"rates"`
+	Contributors []Contributor `json:"culprits"`
 }
 
 // maxCulprits bounds the culprits named for a service.
-const maxCulprits = 5
+const maxContributors = 5
 
 // Report returns the burn of every service that has an objective.
 func (r *Recorder) Report() []Service {
@@ -166,52 +166,52 @@
 	defer r.mu.Unlock()
 	out := []Service{}
 	for _, o := range r.objectives() {
-		out = append(out, r.service(o))
+		out = append(out, r.reportService(o))
 	}
 	slices.SortFunc(out, func(a, b Service) int { return cmp.Compare(a.Service, b.Service) })
 	return out
 }
 
-func (r *Recorder) service(o object.Objective) Service {
-	s := Service{Service: ident.Service(o.Service), Culprits: []Culprit{}}
-	whole := r.rings[key{s.Service, "", ""}]
+func (r *Recorder) reportService(o object.Objective) Service {
+	s := Service{Service: ident.Service(o.Service), Contributors: []Contributor{}}
+	whole := r.rings[ringKey{s.Service, "", ""}]
 	for _, w := range Windows {
 		rate := Rate{Window: w.Name}
 		if whole != nil {
-			t := whole.sum(r.step(), w.Span)
+			t := whole.sum(r.currentBucket(), w.Span)
 			rate.Jobs = t.jobs
-			rate.Complete = burnOf(t.incomplete, t.jobs, o.CompleteShare)
-			rate.Fast = burnOf(t.slow, t.jobs-t.incomplete, o.FastShare)
+			rate.Complete = burnRate(t.incomplete, t.jobs, o.CompleteShare)
+			rate.Fast = burnRate(t.slow, t.jobs-t.incomplete, o.FastShare)
 		}
 		s.Rates = append(s.Rates, rate)
 	}
 	if whole != nil {
-		s.Culprits = r.culprits(s.Service, whole.sum(r.step(), time.Hour))
+		s.Contributors = r.topContributors(s.Service, whole.sum(r.currentBucket(), time.Hour))
 	}
 	return s
 }
 
 // burnOf is the share of bad ones over the share that is allowed.
-func burnOf(bad, all int, target float64) float64 {
+func burnRate(bad, all int, target float64) float64 {
 	if all == 0 || target >= 1 {
 		return 0
 	}
 	return float64(bad) / float64(all) / (1 - target)
 }
 
-func (r *Recorder) culprits(s ident.Service, whole tally) []Culprit {
-	out := []Culprit{}
+func (r *Recorder) topContributors(s ident.Service, whole tally) []Contributor {
+	out := []Contributor{}
 	bad := whole.incomplete + whole.slow
 	for k, x := range r.rings {
-		if k.service != s || k.part == "" {
+		if k.service != s || k.kind == "" {
 			continue
 		}
-		if t := x.sum(r.step(), time.Hour); t.incomplete+t.slow > 0 {
-			out = append(out, Culprit{k.part, k.name, t.incomplete + t.slow, float64(t.incomplete+t.slow) / float64(bad)})
+		if t := x.sum(r.currentBucket(), time.Hour); t.incomplete+t.slow > 0 {
+			out = append(out, Contributor{k.kind, k.name, t.incomplete + t.slow, float64(t.incomplete+t.slow) / float64(bad)})
 		}
 	}
-	slices.SortFunc(out, func(a, b Culprit) int {
-		return cmp.Or(cmp.Compare(b.Bad, a.Bad), cmp.Compare(a.Part, b.Part), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(out, func(a, b Contributor) int {
+		return cmp.Or(cmp.Compare(b.Bad, a.Bad), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 	})
-	return out[:min(len(out), maxCulprits)]
+	return out[:min(len(out), maxContributors)]
 }
--- a/internal/entry/burn/burn_test.go
+++ b/internal/entry/burn/burn_test.go
@@ -17,7 +17,7 @@
 		return []object.Objective{{Service: "publish", WithinIdeal: 2, FastShare: 0.9, CompleteShare: 0.99}}
 	})
 	job := func(complete bool, took time.Duration, upstreams ...ident.UpstreamID) {
-		r.Ended(burn.Job{Service: "publish", Complete: complete, Took: took, Longest: time.Second, Upstreams: upstreams})
+		r.RecordJob(burn.Job{Service: "publish", Complete: complete, Took: took, Longest: time.Second, Upstreams: upstreams})
 	}
 	for range 80 {
 		job(true, time.Second)
@@ -25,7 +25,7 @@
 	for range 20 {
 		job(true, 3*time.Second)
 	}
-	r.Ended(burn.Job{Service: "other"})
+	r.RecordJob(burn.Job{Service: "other"})
 	rates := r.Report()[0].Rates
 	qt.Assert(t, rates[0].Jobs, qt.Equals, 100)
 	qt.Assert(t, rates[0].Fast > 1.99 && rates[0].Fast < 2.01, qt.IsTrue, qt.Commentf("20%% slow where 10%% may be: %v", rates[0].Fast))
@@ -39,8 +39,8 @@
 	qt.Assert(t, s.Rates[0].Jobs, qt.Equals, 100, qt.Commentf("the first jobs have left the 5 minutes"))
 	qt.Assert(t, s.Rates[1].Jobs, qt.Equals, 200)
 	qt.Assert(t, s.Rates[1].Complete > 49 && s.Rates[1].Complete < 51, qt.IsTrue, qt.Commentf("%v", s.Rates[1].Complete))
-	qt.Assert(t, s.Culprits, qt.HasLen, 1)
-	qt.Assert(t, s.Culprits[0], qt.Equals, burn.Culprit{Part: "upstream", Name: "u7", Bad: 100, Share: 100.0 / 120})
+	qt.Assert(t, s.Contributors, qt.HasLen, 1)
+	qt.Assert(t, s.Contributors[0], qt.Equals, burn.Contributor{Kind: "upstream", Name: "u7", Bad: 100, Share: 100.0 / 120})
 
 	now = now.Add(7 * time.Hour)
 	qt.Assert(t, r.Report()[0].Rates[3].Jobs, qt.Equals, 0)
--- a/internal/entry/caller/caller.go
+++ b/internal/entry/caller/caller.go
@@ -67,21 +67,21 @@
 
 // postJob runs a job under an id that nobody else knows: if the answer is lost, so is the job.
 func (h *Handler) postJob(w http.ResponseWriter, r *http.Request) {
-	h.run(w, r, job.ID(rand.Uint64()))
+	h.runJob(w, r, job.ID(rand.Uint64()))
 }
 
 // putJob runs a job under the caller's id. Sent again after a lost answer, it runs anew or joins the run that is
 // under way, and no task of it ever runs twice at a time.
 func (h *Handler) putJob(w http.ResponseWriter, r *http.Request) {
-	id, ok := h.jobID(w, r)
+	id, ok := h.parseJobID(w, r)
 	if !ok {
 		return
 	}
-	h.run(w, r, id)
+	h.runJob(w, r, id)
 }
 
 // jobID reads the id in a request's path; without a sound one the request is refused.
-func (h *Handler) jobID(w http.ResponseWriter, r *http.Request) (id job.ID, ok bool) {
+func (h *Handler) parseJobID(w http.ResponseWriter, r *http.Request) (id job.ID, ok bool) {
 	id, err := job.ParseID(chi.URLParam(r, "id"))
 	if err != nil {
 		h.refuse(w, http.StatusBadRequest, verdict.BadID, "id", err.Error())
@@ -91,19 +91,19 @@
 }
 
 // run reads a job, submits it and answers with its end or, if it is to be kept, with its acceptance.
-func (h *Handler) run(w http.ResponseWriter, r *http.Request, id job.ID) {
+func (h *Handler) runJob(w http.ResponseWriter, r *http.Request, id job.ID) {
 	began := boottime.Now()
 	var body api.Job
 	if !h.readBody(w, r, &body) {
 		return
 	}
-	request, field, message := read(&body)
+	request, field, message := parseJob(&body)
 	if field != "" {
 		h.refuse(w, http.StatusBadRequest, verdict.BadRequest, field, message)
 		return
 	}
 	request.Job = id
-	if field, message := h.apply(&request, &body, began); field != "" {
+	if field, message := h.applyServicePolicy(&request, &body, began); field != "" {
 		h.refuse(w, http.StatusBadRequest, verdict.BadRequest, field, message)
 		return
 	}
@@ -113,7 +113,7 @@
 		h.log.WithFields(logrus.Fields{"job": id, "after_ms": boottime.Since(began).Milliseconds(), "error": err.Error()}).Info("caller_gone")
 		a = dispatch.Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.CallerGone}
 	}
-	h.write(w, status(a), &api.Answer{
+	h.write(w, httpStatus(a), &api.Answer{
 		ID: id.String(), State: a.State, Verdict: a.Verdict, Reason: a.Reason, RetryAfterMs: a.RetryAfter.Milliseconds(),
 	})
 }
@@ -138,13 +138,13 @@
 
 // apply puts in force what operators say of the job's service, and the deadline. A problem is told by its field and
 // a message.
-func (h *Handler) apply(r *dispatch.Request, body *api.Job, began time.Time) (field, message string) {
+func (h *Handler) applyServicePolicy(r *dispatch.Request, body *api.Job, began time.Time) (field, message string) {
 	in := h.services()
 	if !in.Knows(r.Route.Service) {
 		return "service", "there is no such service"
 	}
-	if most := in.MaxTasks(r.Route.Service); most > 0 && r.Spec.Tasks() > most {
-		return "steps", fmt.Sprintf("%d tasks; the service allows %d", r.Spec.Tasks(), most)
+	if most := in.MaxTasks(r.Route.Service); most > 0 && r.Spec.TaskCount() > most {
+		return "steps", fmt.Sprintf("%d tasks; the service allows %d", r.Spec.TaskCount(), most)
 	}
 	patience := time.Duration(body.DeadlineMs) * time.Millisecond
 	if patience == 0 {
@@ -157,7 +157,7 @@
 }
 
 // status is the HTTP status of an answer.
-func status(a dispatch.Answer) int {
+func httpStatus(a dispatch.Answer) int {
 	switch {
 	case a.State == verdict.Complete, a.State == verdict.Failed:
 		return http.StatusOK
@@ -174,14 +174,16 @@
 }
 
 // getJob tells a job's state. Of a job that is not kept, nothing is known once it was answered.
-func (h *Handler) getJob(w http.ResponseWriter, r *http.Request) { h.state(w, r, h.jobs.State) }
+func (h *Handler) getJob(w http.ResponseWriter, r *http.Request) { h.answerState(w, r, h.jobs.State) }
 
 // deleteJob ends a job: nothing of it starts any more, and what runs is stopped.
-func (h *Handler) deleteJob(w http.ResponseWriter, r *http.Request) { h.state(w, r, h.jobs.Cancel) }
+func (h *Handler) deleteJob(w http.ResponseWriter, r *http.Request) {
+	h.answerState(w, r, h.jobs.Cancel)
+}
 
 // state answers with a job's state, as ask tells it.
-func (h *Handler) state(w http.ResponseWriter, r *http.Request, ask func(context.Context, job.ID) (verdict.State, error)) {
-	id, ok := h.jobID(w, r)
+func (h *Handler) answerState(w http.ResponseWriter, r *http.Request, ask func(context.Context, job.ID) (verdict.State, error)) {
+	id, ok := h.parseJobID(w, r)
 	if !ok {
 		return
 	}
--- a/internal/entry/caller/read.go
+++ b/internal/entry/caller/read.go
@@ -20,7 +20,7 @@
 )
 
 // read checks a job. A problem is told by its field and a message.
-func read(b *api.Job) (r dispatch.Request, field, message string) {
+func parseJob(b *api.Job) (r dispatch.Request, field, message string) {
 	switch {
 	case b.Service == "":
 		return r, "service", "must be set"
@@ -35,7 +35,7 @@
 	}
 	spec := &job.Spec{Text: b.Spec, BestEffort: !b.Keep}
 	for i := range b.Steps {
-		step, field, message := readStep(i, &b.Steps[i])
+		step, field, message := parseStep(i, &b.Steps[i])
 		if field != "" {
 			return r, field, message
 		}
@@ -55,7 +55,7 @@
 }
 
 // readStep checks one step. A problem is told by its field and a message.
-func readStep(number int, s *api.Step) (out job.Step, field, message string) {
+func parseStep(number int, s *api.Step) (out job.Step, field, message string) {
 	at := func(name string) string { return fmt.Sprintf("steps[%d].%s", number, name) }
 	switch {
 	case s.Count < 1:
--- a/internal/entry/demand/demand_test.go
+++ b/internal/entry/demand/demand_test.go
@@ -39,23 +39,23 @@
 		{"long jobs", repeat(8, 8*second), long, 2 * second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c := demand.NewCallers()
+			c := demand.NewResendDetector()
 			for _, d := range test.before {
-				c.SentBefore("q", test.objective, d)
-				c.SentBefore("other", test.objective, second/100)
+				c.Observe("q", test.objective, d)
+				c.Observe("other", test.objective, second/100)
 			}
-			qt.Assert(t, c.SentBefore("q", test.objective, test.patience), qt.Equals, test.want)
+			qt.Assert(t, c.Observe("q", test.objective, test.patience), qt.Equals, test.want)
 		})
 	}
 }
 
 // TestShortJobAmongLong: in a queue of long jobs a caller that waits for less has a shorter job.
 func TestShortJobAmongLong(t *testing.T) {
-	c := demand.NewCallers()
+	c := demand.NewResendDetector()
 	for range 20 {
-		c.SentBefore("q", 2*second, 8*second)
+		c.Observe("q", 2*second, 8*second)
 	}
-	qt.Assert(t, c.SentBefore("q", second, 3*second), qt.IsFalse)
+	qt.Assert(t, c.Observe("q", second, 3*second), qt.IsFalse)
 }
 
 // TestPressure: the part refused lately, in proportion up to a tenth; it fades.
@@ -78,10 +78,10 @@
 			var p demand.Pressure
 			now := time.Unix(1000, 0)
 			for range test.complete {
-				p.Note(now, false)
+				p.Record(now, false)
 			}
 			for range test.refused {
-				p.Note(now, true)
+				p.Record(now, true)
 			}
 			got := p.Level(now.Add(test.later))
 			qt.Assert(t, got >= test.least && got <= test.most, qt.IsTrue, qt.Commentf("%.3f", got))
@@ -90,11 +90,11 @@
 }
 
 // BenchmarkSentBefore: an entry asks for each job.
-func BenchmarkSentBefore(b *testing.B) {
-	c := demand.NewCallers()
+func BenchmarkObserve(b *testing.B) {
+	c := demand.NewResendDetector()
 	n := 0
 	for b.Loop() {
 		n++
-		c.SentBefore(route.Name("q"), second/5, time.Duration(n*7919%2000)*time.Millisecond)
+		c.Observe(route.Name("q"), second/5, time.Duration(n*7919%2000)*time.Millisecond)
 	}
 }
--- a/internal/entry/demand/pressure.go
+++ b/internal/entry/demand/pressure.go
@@ -12,9 +12,9 @@
 	fullPressure = 0.10
 	// pressureMemory is how long refusals count, as a time constant: longer than the wave of callers that a short outage
 	// sends back.
-	pressureMemory = 3 * time.Second
+	pressureDecay = 3 * time.Second
 	// doubtfulJobs are counted as served besides, so that a few refusals after a quiet time do not count as pressure.
-	doubtfulJobs = 5
+	priorJobs = 5
 )
 
 // Pressure knows which part of the jobs was lately refused for want of room. The zero value has seen none.
@@ -25,14 +25,14 @@
 }
 
 // fade lets older jobs count less.
-func (p *Pressure) fade(now time.Time) {
-	keep := math.Exp(-float64(now.Sub(p.at)) / float64(pressureMemory))
+func (p *Pressure) decay(now time.Time) {
+	keep := math.Exp(-float64(now.Sub(p.at)) / float64(pressureDecay))
 	p.refused, p.answered, p.at = p.refused*keep, p.answered*keep, now
 }
 
 // Note takes in a job that was complete, or refused for want of room.
-func (p *Pressure) Note(now time.Time, refused bool) {
-	p.fade(now)
+func (p *Pressure) Record(now time.Time, refused bool) {
+	p.decay(now)
 	p.answered++
 	if refused {
 		p.refused++
@@ -41,6 +41,6 @@
 
 // Level is 0 while no job is refused, and 1 where so many are that waiting helps nobody.
 func (p *Pressure) Level(now time.Time) float64 {
-	p.fade(now)
-	return min(p.refused/(p.answered+doubtfulJobs)/fullPressure, 1)
+	p.decay(now)
+	return min(p.refused/(p.answered+priorJobs)/fullPressure, 1)
 }
--- a/internal/entry/dispatch/agents_test.go
+++ b/internal/entry/dispatch/agents_test.go
@@ -18,37 +18,37 @@
 func TestLostAgentIsWaitedFor(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		then  func(b *bench, lost ident.Incarnation)
+		then  func(b *harness, lost ident.Incarnation)
 		again time.Duration
 	}{
-		{"silent", func(*bench, ident.Incarnation) {}, timing.SettleAfter()},
-		{"back, and nothing is left", func(b *bench, lost ident.Incarnation) { b.link(lost); b.table.Settled(b.now, lost) }, 0},
-		{"back, with runs left", func(b *bench, lost ident.Incarnation) { b.link(lost) }, time.Hour},
-		{"replaced at the same upstream", func(b *bench, lost ident.Incarnation) {
-			b.table.Linked(b.now, 9, "vm", "z")
-			b.table.Upstream(b.now, 9, fleet.Upstream{ID: ident.UpstreamID(lost.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
+		{"silent", func(*harness, ident.Incarnation) {}, timing.SettleAfter()},
+		{"back, and nothing is left", func(b *harness, lost ident.Incarnation) { b.link(lost); b.table.HandleSettled(b.now, lost) }, 0},
+		{"back, with runs left", func(b *harness, lost ident.Incarnation) { b.link(lost) }, time.Hour},
+		{"replaced at the same upstream", func(b *harness, lost ident.Incarnation) {
+			b.table.HandleLinked(b.now, 9, "vm", "z")
+			b.table.HandleUpstream(b.now, 9, fleet.Upstream{ID: ident.UpstreamID(lost.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
 			b.room(9, fleet.Clearing, 2000, 0)
-			qt.Assert(b.t, b.questions, qt.HasLen, 0)
+			qt.Assert(b.t, b.queries, qt.HasLen, 0)
 			b.room(9, fleet.Ready, 2000, 0)
 			qt.Assert(b.t, b.orders, qt.HasLen, 1)
-			qt.Assert(b.t, b.questions, qt.HasLen, 1)
-			b.room(9, fleet.Ready, 2000, b.questions[0].Seq)
+			qt.Assert(b.t, b.queries, qt.HasLen, 1)
+			b.room(9, fleet.Ready, 2000, b.queries[0].Seq)
 		}, 0},
-		{"a connection of an earlier agent arrives late", func(b *bench, lost ident.Incarnation) {
-			b.table.Linked(b.now, 9, "vm", "z")
-			b.table.Upstream(b.now, 9, fleet.Upstream{ID: ident.UpstreamID(lost.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
+		{"a connection of an earlier agent arrives late", func(b *harness, lost ident.Incarnation) {
+			b.table.HandleLinked(b.now, 9, "vm", "z")
+			b.table.HandleUpstream(b.now, 9, fleet.Upstream{ID: ident.UpstreamID(lost.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
 			b.room(9, fleet.Ready, 2000, 0)
 			b.room(9, fleet.Ready, 1000, 0)
-			b.table.Unlinked(b.now, 9)
-			qt.Assert(b.t, b.questions, qt.HasLen, 1)
+			b.table.HandleUnlinked(b.now, 9)
+			qt.Assert(b.t, b.queries, qt.HasLen, 1)
 		}, timing.SettleAfter()},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, 2)
+			b := newHarness(t, 2)
 			b.submit(7, 1, 1, 5*time.Second, time.Minute)
 			qt.Assert(t, b.orders, qt.HasLen, 1)
 			lost := b.orders[0].agent
-			b.table.Unlinked(b.now, lost)
+			b.table.HandleUnlinked(b.now, lost)
 			test.then(b, lost)
 			if test.again > 0 {
 				b.pass(min(test.again, 5*time.Second) - 40*time.Millisecond)
@@ -67,35 +67,35 @@
 // TestLinkThatIsResetCostsNoRun: runs that the agent still has go on; what it does not list is placed again once the
 // agent says that nothing else is left, and what was given up meanwhile is stopped.
 func TestLinkThatIsResetCostsNoRun(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	b.submit(7, 1, 2, time.Second, time.Minute)
 	b.room(1, fleet.Ready, 2000, 1)
 	o := b.orders[0]
 	qt.Assert(t, o.Tasks, qt.HasLen, 2)
-	b.table.Unlinked(b.now, 1)
+	b.table.HandleUnlinked(b.now, 1)
 	b.link(1)
-	b.table.Resumed(1, []fleet.OrderedRun{o.run(0)})
+	b.table.HandleResumed(1, []fleet.OrderedRun{o.run(0)})
 	b.room(1, fleet.Ready, 1000, 0)
-	b.table.Settled(b.now, 1)
+	b.table.HandleSettled(b.now, 1)
 	qt.Assert(t, b.orders, qt.HasLen, 2)
 	qt.Assert(t, b.orders[1].Task(0), qt.Equals, o.Task(1))
 	b.end(o, 0, job.Done, "")
-	b.table.Unlinked(b.now, 1)
+	b.table.HandleUnlinked(b.now, 1)
 	b.table.Abandon(b.now, 7, 1)
 	qt.Assert(t, b.stops, qt.HasLen, 0) // nobody hears it
 	b.link(1)
 	again := b.orders[1].run(0)
 	qt.Assert(t, again.RunRef, qt.Equals, fleet.RunRef{Task: o.Task(1), Run: 2})
 	unknown := fleet.OrderedRun{RunRef: fleet.RunRef{Task: job.TaskID{Job: 9}, Run: 4}, ID: 9}
-	b.table.Resumed(1, []fleet.OrderedRun{again, unknown})
+	b.table.HandleResumed(1, []fleet.OrderedRun{again, unknown})
 	qt.Assert(t, b.stops, qt.HasLen, 2)
 	qt.Assert(t, b.stops[0], qt.Equals, stop{1, again, fleet.OnRequest})
 	qt.Assert(t, b.stops[1], qt.Equals, stop{1, unknown, fleet.OnRequest})
 }
 
 // TestLinkedAnew: a session that replaces one whose end was not told leaves the agent known, whether it has runs or not.
-func TestLinkedAnew(t *testing.T) {
-	b := newBench(t, 1)
+func TestSessionIsReplaced(t *testing.T) {
+	b := newHarness(t, 1)
 	b.link(1)
 	b.room(1, fleet.Ready, 2000, 0)
 	b.submit(7, 1, 1, time.Second, time.Minute)
@@ -105,7 +105,7 @@
 // TestCloseAll: an entry that is about to end answers everybody: what has not begun is refused for good, what has may have run
 // and is stopped, and what comes then is refused.
 func TestCloseAll(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	b.submit(1, 1, 1, time.Second, time.Minute)
 	b.submit(2, 2, 2, time.Second, time.Minute) // there is room for one of its two tasks
 	b.submit(3, 3, 1, time.Second, time.Minute)
--- a/internal/entry/dispatch/answers.go
+++ b/internal/entry/dispatch/answers.go
@@ -22,12 +22,12 @@
 	if j == nil || j.kept {
 		return
 	}
-	j.again = slices.DeleteFunc(j.again, func(r Request) bool { return r.Caller == c })
+	j.resubmitted = slices.DeleteFunc(j.resubmitted, func(r Request) bool { return r.Caller == c })
 	j.callers = slices.DeleteFunc(j.callers, func(have CallerID) bool { return have == c })
 	if len(j.callers) == 0 && !j.ending {
-		t.close(now, j, Answer{State: verdict.Unresolved, Verdict: runVerdict(j), Reason: verdict.CallerGone})
+		t.close(now, j, Answer{State: verdict.Unresolved, Verdict: unfinishedVerdict(j), Reason: verdict.CallerGone})
 	}
-	t.pump(now)
+	t.placeAll(now)
 }
 
 // Release lets a kept job go, which another entry will act for, or which was cancelled: its runs are stopped.
@@ -36,12 +36,12 @@
 	if j == nil || !j.kept {
 		return
 	}
-	j.again = nil // it would have begun anew once its old runs had ended
+	j.resubmitted = nil // it would have begun anew once its old runs had ended
 	if j.ending {
 		return
 	}
-	t.end(now, j, Answer{State: verdict.Unresolved, Verdict: runVerdict(j), Reason: why})
-	t.pump(now)
+	t.endJob(now, j, Answer{State: verdict.Unresolved, Verdict: unfinishedVerdict(j), Reason: why})
+	t.placeAll(now)
 }
 
 // Cancel ends a job at its caller's wish, and tells whether there was one that is not kept.
@@ -51,8 +51,8 @@
 	if j == nil || j.ending || j.kept {
 		return belated
 	}
-	t.close(now, j, Answer{State: verdict.Unresolved, Verdict: runVerdict(j), Reason: verdict.ByCaller})
-	t.pump(now)
+	t.close(now, j, Answer{State: verdict.Unresolved, Verdict: unfinishedVerdict(j), Reason: verdict.ByCaller})
+	t.placeAll(now)
 	return true
 }
 
@@ -62,11 +62,11 @@
 	t.closing = true
 	t.answerAllBelated(refused(verdict.Leaving)) // nothing of them has run here
 	for _, j := range t.sortedJobs() {
-		t.answerAgain(j, EntryLeaves)
+		t.answerResubmitted(j, EntryLeaving)
 		switch {
 		case j.ending || j.kept:
 		case j.begun:
-			t.close(now, j, EntryLeaves)
+			t.close(now, j, EntryLeaving)
 		default:
 			t.close(now, j, refused(verdict.Leaving))
 		}
@@ -74,22 +74,22 @@
 }
 
 // sortedJobs lists the jobs as they wait for room, so that runs repeat.
-func (t *Table) sortedJobs() []*jobState { return slices.SortedFunc(maps.Values(t.jobs), before) }
+func (t *Table) sortedJobs() []*jobState { return slices.SortedFunc(maps.Values(t.jobs), compareJobs) }
 
 // answerAgain answers the callers who have sent a job again that was given up, and lets it not begin anew.
-func (t *Table) answerAgain(j *jobState, a Answer) {
-	again := j.again
-	j.again = nil
+func (t *Table) answerResubmitted(j *jobState, a Answer) {
+	again := j.resubmitted
+	j.resubmitted = nil
 	for _, r := range again {
 		t.callers.Answer(r.Caller, a)
 	}
 }
 
 // EntryLeaves is for callers of whose jobs nothing is certain when their entry ends.
-var EntryLeaves = Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Leaving}
+var EntryLeaving = Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Leaving}
 
 // runVerdict is the verdict on a job that is given up now.
-func runVerdict(j *jobState) verdict.Verdict {
+func unfinishedVerdict(j *jobState) verdict.Verdict {
 	if j.begun {
 		return verdict.MayHaveRun
 	}
@@ -101,17 +101,17 @@
 	if j.kept {
 		t.keeper.JobEnded(now, j.id, a)
 	}
-	t.end(now, j, a)
+	t.endJob(now, j, a)
 }
 
 // end answers a job's callers, stops what still runs of it and forgets it once nothing does.
-func (t *Table) end(now time.Time, j *jobState, a Answer) {
+func (t *Table) endJob(now time.Time, j *jobState, a Answer) {
 	invariant.Check(!j.ending, invariant.AnsweredOnce, func() logrus.Fields { return logrus.Fields{"job": j.id} })
-	invariant.Check(a.Verdict != verdict.NotRun || j.out == 0, invariant.NotRunIsTrue, func() logrus.Fields {
-		return logrus.Fields{"job": j.id, "runs": j.out}
+	invariant.Check(a.Verdict != verdict.NotRun || j.outstanding == 0, invariant.NotRunIsTrue, func() logrus.Fields {
+		return logrus.Fields{"job": j.id, "runs": j.outstanding}
 	})
 	j.ending = true
-	t.notePressure(now, j, a)
+	t.recordPressure(now, j, a)
 	s := t.summary(now, j)
 	if a.Verdict == verdict.NotRun {
 		s.Room = t.roomLeft(now, j)
@@ -126,15 +126,15 @@
 			t.drop(k)
 		}
 	}
-	t.tellStops(j, StopCause(a.Reason), j.unheard())
-	t.forget(now, j)
+	t.reportStops(j, StopCause(a.Reason), j.unreachableRuns())
+	t.removeIfDone(now, j)
 }
 
 // summary tells what a job's answer rests on.
 func (t *Table) summary(now time.Time, j *jobState) Summary {
 	s := Summary{
-		Sender: j.sender, Took: now.Sub(j.submitted), Objective: j.objective, Tasks: j.spec.Tasks(), Runs: j.runs, Failures: j.failures,
-		Longest: j.longest, Blamed: j.blamed, Queued: t.waitingJobs(), SentBefore: j.sentBefore(),
+		RequestID: j.requestID, Took: now.Sub(j.submitted), Objective: j.objective, Tasks: j.spec.TaskCount(), Runs: j.runs, Failures: j.failures,
+		Longest: j.longest, Blamed: j.blamed, Queued: t.waitingJobs(), Resent: j.resent(),
 	}
 	if !j.firstAt.IsZero() {
 		s.Waited = j.firstAt.Sub(j.submitted)
@@ -144,13 +144,13 @@
 
 // roomLeft tells what room there is for a job's waiting tasks.
 func (t *Table) roomLeft(now time.Time, j *jobState) RoomLeft {
-	r := RoomLeft{Closed: t.closedNow(now)}
+	r := RoomLeft{Closed: t.countClosed(now)}
 	for s := range j.steps {
 		n := len(j.steps[s].waiting)
 		if n <= r.Tasks {
 			continue
 		}
-		r.Tasks, r.Wants = n, j.spec.Steps[s].Each.CPU
+		r.Tasks, r.TaskCPU = n, j.spec.Steps[s].Each.CPU
 		r.Ready, r.Fits = t.countRoom(j.route.Service, &j.spec.Steps[s])
 	}
 	return r
@@ -158,12 +158,12 @@
 
 // countRoom counts the upstreams that take work, and the tasks of a step for which they have room.
 func (t *Table) countRoom(service ident.Service, step *job.Step) (ready, fits int) {
-	for _, a := range t.order {
+	for _, a := range t.agentList {
 		if !a.Serves(service, fleet.Ready) {
 			continue
 		}
 		ready++
-		if a.Takes(service, step) && step.Each.CPU > 0 {
+		if a.CanTake(service, step) && step.Each.CPU > 0 {
 			fits += int(a.Free().CPU / step.Each.CPU)
 		}
 	}
@@ -174,10 +174,10 @@
 func (t *Table) drop(k *task) {
 	switch k.phase {
 	case waiting:
-		t.unwait(k)
-		k.phase = over
-	case blocked, doubtful:
-		k.phase = over
+		t.dequeue(k)
+		k.phase = finished
+	case blocked, awaitingStore:
+		k.phase = finished
 	case placed:
 		t.stop(k)
 	}
@@ -189,21 +189,21 @@
 		return
 	}
 	k.stopping = true
-	t.stopped = append(t.stopped, k.at())
-	t.agentsIO.Stop(k.agent.ID, k.ordered(), fleet.OnRequest)
+	t.unreportedStops = append(t.unreportedStops, k.runAt())
+	t.agentsIO.Stop(k.agent.ID, k.orderedRun(), fleet.OnRequest)
 }
 
 // forget removes a closed job of which nothing remains, and begins it anew if it was submitted again.
-func (t *Table) forget(now time.Time, j *jobState) {
-	if !j.ending || j.out > 0 && !(t.opts.Without.Off(rule.StopsFirst) && len(j.again) > 0) {
+func (t *Table) removeIfDone(now time.Time, j *jobState) {
+	if !j.ending || j.outstanding > 0 && !(t.opts.Without.Has(rule.StopsFirst) && len(j.resubmitted) > 0) {
 		return
 	}
 	if t.jobs[j.id] == j {
 		delete(t.jobs, j.id)
-		t.payOwed(j.id)
+		t.sendReplies(j.id)
 	}
-	again := j.again
-	j.again = nil
+	again := j.resubmitted
+	j.resubmitted = nil
 	for _, r := range again {
 		t.take(now, r)
 	}
--- a/internal/entry/dispatch/belated.go
+++ b/internal/entry/dispatch/belated.go
@@ -11,37 +11,37 @@
 
 // listenFor is how long a request that may have been on its way for long waits for the end of its connection, which comes behind it: the
 // way there and back several times over.
-const listenFor = 20 * time.Millisecond
+const disconnectWait = 20 * time.Millisecond
 
 // belatedRequest is a request that may have been on its way for long, or whose job another entry holds.
 type belatedRequest struct {
 	request Request
 	// listenLeft is for how long the process has still to listen before it is taken, if its caller has not gone; it is counted up to countedTo.
-	listenLeft time.Duration
-	countedTo  time.Time
+	listenRemaining time.Duration
+	countedUntil    time.Time
 }
 
 // hold lets a belated request wait until the end of its connection would have been heard, and tells whether it does. One whose job another entry
 // holds waits as well: the caller may have gone there.
-func (t *Table) hold(now time.Time, r Request) bool {
-	old := t.touch.mayBeOld(now) && !t.opts.Without.Off(rule.HearEnds)
+func (t *Table) holdBelated(now time.Time, r Request) bool {
+	old := t.contact.mayBeDelayed(now) && !t.opts.Without.Has(rule.HearEnds)
 	if t.closing || r.Kept != nil || !old && !t.heldElsewhere(now, r.Job) {
 		return false
 	}
 	t.observer.Belated(&r)
-	t.belated = append(t.belated, belatedRequest{request: r, listenLeft: listenFor, countedTo: now})
+	t.belated = append(t.belated, belatedRequest{request: r, listenRemaining: disconnectWait, countedUntil: now})
 	return true
 }
 
 // takeBelated takes the belated requests whose time has come.
-func (t *Table) takeBelated(now time.Time) {
+func (t *Table) submitBelated(now time.Time) {
 	waiting := t.belated
 	t.belated = nil
 	for _, b := range waiting {
-		b.listenLeft -= listened(b.countedTo, now)
-		b.countedTo = now
+		b.listenRemaining -= listeningTime(b.countedUntil, now)
+		b.countedUntil = now
 		switch r := &b.request; {
-		case b.listenLeft > 0:
+		case b.listenRemaining > 0:
 			t.belated = append(t.belated, b)
 		case t.awaitRelease(now, r.Job) && !r.Deadline.IsZero() && !now.Before(r.Deadline):
 			t.callers.Answer(r.Caller, Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Deadline})
@@ -50,11 +50,11 @@
 		default:
 			t.take(now, *r)
 			if j := t.jobs[r.Job]; j != nil {
-				j.tellAt = now // its caller may have gone all the same, unheard, and be about to come to another entry
+				j.announceAt = now // its caller may have gone all the same, unheard, and be about to come to another entry
 			}
 		}
 	}
-	t.forgetReleases()
+	t.dropUnusedReleases()
 }
 
 // dropBelated forgets a belated request whose caller has gone.
--- a/internal/entry/dispatch/bench_test.go
+++ b/internal/entry/dispatch/bench_test.go
@@ -28,21 +28,21 @@
 }
 
 // news tells of an agent's room; no two agents have the same pace.
-func (b *bench) news(agent, agents int, cpu int64, seq uint64) {
-	b.table.Room(b.now, ident.Incarnation(agent), fleet.Room{
+func (b *harness) reportRoom(agent, agents int, cpu int64, seq uint64) {
+	b.table.HandleRoom(b.now, ident.Incarnation(agent), fleet.Room{
 		Free: job.Resources{CPU: cpu}, State: fleet.Ready, Seq: seq, Pace: 1 + float64(agent*31%agents)/float64(agents),
 	})
 }
 
 // newPeak returns a Table that holds many jobs of two steps, as many as fit of which run.
-func newPeak(b *testing.B, agents int) *bench {
-	p := &bench{now: time.Unix(1000, 0), answers: make(map[dispatch.CallerID]dispatch.Answer)}
+func newPeak(b *testing.B, agents int) *harness {
+	p := &harness{now: time.Unix(1000, 0), answers: make(map[dispatch.CallerID]dispatch.Answer)}
 	jobs := manyJobs + agents*12
 	p.table = dispatch.New(dispatch.Options{Timing: timing, Zone: "z", MaxQueue: jobs, MaxTasks: 20}, p, p, p, 1)
 	p.table.Tick(p.now)
 	for i := 1; i <= agents; i++ {
 		p.link(ident.Incarnation(i))
-		p.news(i, agents, 12_000, 0)
+		p.reportRoom(i, agents, 12_000, 0)
 	}
 	step := job.Step{Count: 1, Each: job.Resources{CPU: 1000}, Estimate: time.Hour}
 	last := step
@@ -73,7 +73,7 @@
 	bySize(b, func(b *testing.B, agents int) {
 		p := newPeak(b, agents)
 		for b.Loop() {
-			p.news(1, agents, 0, 1<<32)
+			p.reportRoom(1, agents, 0, 1<<32)
 		}
 	})
 }
@@ -81,7 +81,7 @@
 // BenchmarkJob: a job of eight tasks that is placed at once, and the ends of its runs.
 func BenchmarkJob(b *testing.B) {
 	bySize(b, func(b *testing.B, agents int) {
-		p := newBench(nil, agents)
+		p := newHarness(nil, agents)
 		id := job.ID(0)
 		for b.Loop() {
 			id++
--- a/internal/entry/dispatch/cordon.go
+++ b/internal/entry/dispatch/cordon.go
@@ -14,38 +14,38 @@
 // goes on. What waits finds room elsewhere, or is refused at once where there is no elsewhere.
 func (t *Table) SetCordoned(now time.Time, zones []ident.Zone) {
 	t.cordoned = slices.Clone(zones)
-	t.refuseNowhere(now)
-	t.pump(now)
+	t.refuseAllCordoned(now)
+	t.placeAll(now)
 }
 
 // gatedAt notes that an agent has refused an order because their zone is cordoned, which this entry had not heard.
-func (t *Table) gatedAt(a *upstreamOf) {
-	a.Cordon()
-	t.gated[a.Zone]++
+func (t *Table) recordCordonRefusal(a *agentState) {
+	a.MarkCordoned()
+	t.cordonRefusals[a.Zone]++
 }
 
 // open tells whether operators let an upstream serve a service.
-func (t *Table) open(a *upstreamOf, s ident.Service) bool {
+func (t *Table) permits(a *agentState, s ident.Service) bool {
 	return a.Room().State != fleet.Cordoned && !slices.Contains(t.cordoned, a.Zone) && t.allowed(a.Name, a.Zone, s)
 }
 
 // linkTime is how long after an entry has begun its agents may still be coming: after a loss of all power 65 of them had linked to
 // each of eleven entries within 0.5 s.
-const linkTime = time.Second
+const agentLinkTime = time.Second
 
 // nowhere tells whether operators have cordoned all upstreams of a service that are linked. Without any that are linked, some may come
 // within moments: that is an outage, and jobs wait for its end as long as they can be in time. So they do while the entry begins, when
 // those of a cordoned zone may happen to come first.
-func (t *Table) nowhere(now time.Time, s ident.Service) bool {
-	if now.Sub(t.began) < linkTime {
+func (t *Table) allCordoned(now time.Time, s ident.Service) bool {
+	if now.Sub(t.firstTick) < agentLinkTime {
 		return false
 	}
 	linked := false
-	for _, a := range t.order {
-		if !a.Known() || a.Up.Service != s {
+	for _, a := range t.agentList {
+		if !a.Known() || a.Upstream.Service != s {
 			continue
 		}
-		if t.open(a, s) {
+		if t.permits(a, s) {
 			return false
 		}
 		linked = true
@@ -62,9 +62,9 @@
 
 // refuseNowhere gives up the jobs whose waiting tasks have nowhere to run: their callers would wait until their deadlines
 // for nothing. Kept jobs wait until operators lift a cordon.
-func (t *Table) refuseNowhere(now time.Time) {
-	for _, q := range t.queued {
-		if q.Len() == 0 || !t.nowhere(now, q.Service) {
+func (t *Table) refuseAllCordoned(now time.Time) {
+	for _, q := range t.queueList {
+		if q.Len() == 0 || !t.allCordoned(now, q.Service) {
 			continue
 		}
 		for _, j := range q.All() {
@@ -80,7 +80,7 @@
 }
 
 // ZoneWork says what this entry has in one availability zone. An operator who empties a zone waits until no entry has runs there.
-type ZoneWork struct {
+type ZoneStatus struct {
 	Zone     ident.Zone `json:"zone"`
 	Cordoned bool       `json:"cordoned"`
 	// Upstreams are linked, Ready of them take work.
@@ -89,25 +89,25 @@
 	// Runs are this entry's, lost ones included.
 	Runs int `json:"runs"`
 	// Gated counts the orders that agents there have refused because the zone was cordoned.
-	Gated int64 `json:"gated"`
+	CordonRefusals int64 `json:"gated"`
 	// FreeCPU and TotalCPU are in thousandths of a core, those of upstreams that are linked.
 	FreeCPU  int64 `json:"free_cpu_millis"`
 	TotalCPU int64 `json:"total_cpu_millis"`
 }
 
 // Zones lists the zones of which this entry knows agents, and those that are cordoned, in order.
-func (t *Table) Zones() []ZoneWork {
-	by := make(map[ident.Zone]*ZoneWork)
-	at := func(z ident.Zone) *ZoneWork {
+func (t *Table) Zones() []ZoneStatus {
+	by := make(map[ident.Zone]*ZoneStatus)
+	at := func(z ident.Zone) *ZoneStatus {
 		if by[z] == nil {
-			by[z] = &ZoneWork{Zone: z, Cordoned: slices.Contains(t.cordoned, z), Gated: t.gated[z]}
+			by[z] = &ZoneStatus{Zone: z, Cordoned: slices.Contains(t.cordoned, z), CordonRefusals: t.cordonRefusals[z]}
 		}
 		return by[z]
 	}
 	for _, z := range t.cordoned {
 		at(z)
 	}
-	for _, a := range t.order {
+	for _, a := range t.agentList {
 		w := at(a.Zone)
 		w.Runs += len(a.runs)
 		if !a.Known() {
@@ -115,15 +115,15 @@
 		}
 		w.Upstreams++
 		w.FreeCPU += a.Free().CPU
-		w.TotalCPU += a.Up.Total.CPU
-		if a.Accepts() && t.open(a, a.Up.Service) {
+		w.TotalCPU += a.Upstream.Total.CPU
+		if a.AcceptsWork() && t.permits(a, a.Upstream.Service) {
 			w.Ready++
 		}
 	}
-	out := make([]ZoneWork, 0, len(by))
+	out := make([]ZoneStatus, 0, len(by))
 	for _, w := range by {
 		out = append(out, *w)
 	}
-	slices.SortFunc(out, func(a, b ZoneWork) int { return cmp.Compare(a.Zone, b.Zone) })
+	slices.SortFunc(out, func(a, b ZoneStatus) int { return cmp.Compare(a.Zone, b.Zone) })
 	return out
 }
--- a/internal/entry/dispatch/cordon_test.go
+++ b/internal/entry/dispatch/cordon_test.go
@@ -14,13 +14,13 @@
 )
 
 // zoned returns a bench whose agents stand in zones a, b and a by turns.
-func zoned(t *testing.T, agents int) *bench {
-	b := newBench(t, 0)
+func newZoned(t *testing.T, agents int) *harness {
+	b := newHarness(t, 0)
 	b.pass(time.Second) // an entry that has just begun waits for more agents
 	for i := 1; i <= agents; i++ {
 		id := ident.Incarnation(i)
-		b.table.Linked(b.now, id, "vm", []ident.Zone{"b", "a"}[i%2])
-		b.table.Upstream(b.now, id, fleet.Upstream{ID: ident.UpstreamID(id.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
+		b.table.HandleLinked(b.now, id, "vm", []ident.Zone{"b", "a"}[i%2])
+		b.table.HandleUpstream(b.now, id, fleet.Upstream{ID: ident.UpstreamID(id.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
 		b.room(id, fleet.Ready, 2000, 0)
 	}
 	return b
@@ -28,7 +28,7 @@
 
 // TestNothingIsPlacedInCordonedZones: while a zone is cordoned, tasks go elsewhere; afterwards there as well.
 func TestNothingIsPlacedInCordonedZones(t *testing.T) {
-	b := zoned(t, 2)
+	b := newZoned(t, 2)
 	b.table.SetCordoned(b.now, []ident.Zone{"a", "a zone that nobody has"})
 	b.submit(1, 1, 4, time.Second, time.Minute)
 	qt.Assert(t, b.orders, qt.HasLen, 1)
@@ -41,8 +41,8 @@
 
 // TestGatedOrderGoesElsewhere: an order that an agent refuses because of a cordon costs the job nothing, is placed elsewhere at once,
 // and the agent gets no other before it says that the cordon is lifted.
-func TestGatedOrderGoesElsewhere(t *testing.T) {
-	b := newBench(t, 1)
+func TestRefusedOrderGoesElsewhere(t *testing.T) {
+	b := newHarness(t, 1)
 	b.submit(1, 1, 2, time.Second, time.Minute)
 	qt.Assert(t, b.orders, qt.HasLen, 1)
 	b.link(2)
@@ -62,48 +62,48 @@
 	qt.Assert(t, b.orders[3].agent, qt.Equals, ident.Incarnation(2))
 	zones := b.table.Zones()
 	qt.Assert(t, zones, qt.HasLen, 1)
-	qt.Assert(t, zones[0].Gated, qt.Equals, int64(2))
+	qt.Assert(t, zones[0].CordonRefusals, qt.Equals, int64(2))
 }
 
 // TestNowhere: when all that could serve is cordoned, jobs are refused at once and truthfully, with when to come back.
-func TestNowhere(t *testing.T) {
+func TestAllUpstreamsCordoned(t *testing.T) {
 	both := []ident.Zone{"a", "b"}
 	for _, test := range []struct {
 		name string
-		do   func(b *bench)
+		do   func(b *harness)
 		want dispatch.Answer
 	}{
-		{"a new job", func(b *bench) {
+		{"a new job", func(b *harness) {
 			b.table.SetCordoned(b.now, both)
 			b.submit(1, 1, 2, time.Second, time.Minute)
 		}, dispatch.Answer{State: verdict.Refused, Verdict: verdict.NotRun, Reason: verdict.Cordoned, RetryAfter: 5 * time.Second}},
-		{"one that waits", func(b *bench) {
+		{"one that waits", func(b *harness) {
 			b.room(1, fleet.Ready, 0, 0)
 			b.room(2, fleet.Ready, 0, 0)
 			b.submit(1, 1, 2, time.Second, time.Minute)
 			b.table.SetCordoned(b.now, both)
 		}, dispatch.Answer{State: verdict.Refused, Verdict: verdict.NotRun, Reason: verdict.Cordoned, RetryAfter: 5 * time.Second}},
-		{"one of which a part has begun", func(b *bench) {
+		{"one of which a part has begun", func(b *harness) {
 			b.submit(1, 1, 5, time.Second, time.Minute)
 			b.table.SetCordoned(b.now, both)
 		}, dispatch.Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Cordoned}},
-		{"one that runs", func(b *bench) {
+		{"one that runs", func(b *harness) {
 			b.submit(1, 1, 2, time.Second, time.Minute)
 			b.table.SetCordoned(b.now, both)
 		}, dispatch.Answer{}},
-		{"agents that say so themselves", func(b *bench) {
+		{"agents that say so themselves", func(b *harness) {
 			b.room(1, fleet.Cordoned, 2000, 0)
 			b.room(2, fleet.Cordoned, 2000, 0)
 			b.submit(1, 1, 2, time.Second, time.Minute)
 		}, dispatch.Answer{State: verdict.Refused, Verdict: verdict.NotRun, Reason: verdict.Cordoned, RetryAfter: 5 * time.Second}},
-		{"an outage of the zone that is left", func(b *bench) {
+		{"an outage of the zone that is left", func(b *harness) {
 			b.table.SetCordoned(b.now, []ident.Zone{"a"})
 			b.room(2, fleet.Unreachable, 2000, 0)
 			b.submit(1, 1, 2, time.Second, time.Minute)
 		}, dispatch.Answer{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := zoned(t, 2)
+			b := newZoned(t, 2)
 			test.do(b)
 			qt.Assert(t, b.answers[1], qt.Equals, test.want)
 		})
@@ -112,8 +112,8 @@
 
 // TestOutageOfWhatIsLeft: while no upstream that may serve is ready, jobs wait as in an outage, though some of a cordoned zone are
 // ready.
-func TestOutageOfWhatIsLeft(t *testing.T) {
-	b := zoned(t, 2)
+func TestOutageOfOpenZone(t *testing.T) {
+	b := newZoned(t, 2)
 	b.table.SetCordoned(b.now, []ident.Zone{"a"})
 	b.room(2, fleet.Unreachable, 2000, 0)
 	b.submit(1, 1, 2, 100*time.Millisecond, time.Minute)
@@ -124,8 +124,8 @@
 }
 
 // TestCordonedComeFirst: while an entry begins, agents of cordoned zones may be linked first, and nobody is refused for that.
-func TestCordonedComeFirst(t *testing.T) {
-	b := newBench(t, 1)
+func TestCordonedAgentsLinkFirst(t *testing.T) {
+	b := newHarness(t, 1)
 	b.room(1, fleet.Cordoned, 2000, 0)
 	b.submit(1, 1, 2, time.Second, time.Minute)
 	qt.Assert(t, b.answers, qt.HasLen, 0)
@@ -136,10 +136,10 @@
 
 // TestZones: what an operator looks at before a zone is emptied, and while it is.
 func TestZones(t *testing.T) {
-	b := zoned(t, 3)
+	b := newZoned(t, 3)
 	b.table.SetCordoned(b.now, []ident.Zone{"b"})
 	b.submit(1, 1, 3, time.Second, time.Minute)
-	want := []dispatch.ZoneWork{
+	want := []dispatch.ZoneStatus{
 		{Zone: "a", Upstreams: 2, Ready: 2, Runs: 3, FreeCPU: 1000, TotalCPU: 4000},
 		{Zone: "b", Cordoned: true, Upstreams: 1, FreeCPU: 2000, TotalCPU: 2000},
 	}
--- a/internal/entry/dispatch/crash_test.go
+++ b/internal/entry/dispatch/crash_test.go
@@ -15,28 +15,28 @@
 )
 
 // newVMs returns a bench whose agents are on VMs of their own, named as agents are.
-func newVMs(t *testing.T, n int) *bench {
-	b := newBench(t, 0)
+func newVMs(t *testing.T, n int) *harness {
+	b := newHarness(t, 0)
 	for i := 1; i <= n; i++ {
 		id := ident.Incarnation(i)
-		b.table.Linked(b.now, id, ident.UpstreamName(id.String()), "z")
-		b.table.Upstream(b.now, id, fleet.Upstream{ID: ident.UpstreamID(id.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
+		b.table.HandleLinked(b.now, id, ident.UpstreamName(id.String()), "z")
+		b.table.HandleUpstream(b.now, id, fleet.Upstream{ID: ident.UpstreamID(id.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
 		b.room(id, fleet.Ready, 2000, 0)
 	}
 	return b
 }
 
 // lose ends the runs of an order as lost with its upstream, of which it is told first.
-func (b *bench) lose(o order, after time.Duration) {
+func (b *harness) loseUpstream(o order, after time.Duration) {
 	var lost []fleet.Crash
 	for i, t := range o.Tasks {
 		lost = append(lost, fleet.Crash{
 			Task: o.Task(i), VM: ident.UpstreamName(o.agent.String()), Life: ident.UpstreamLife{ID: ident.UpstreamID(o.agent.String())},
-			Loss: 1, After: after, Alone: t.Alone > 0, Sole: t.Alone > 0 && len(o.Tasks) == 1,
+			Loss: 1, Age: after, Alone: t.AloneFor > 0, OnlyTask: t.AloneFor > 0 && len(o.Tasks) == 1,
 		})
 	}
 	b.room(o.agent, fleet.Unreachable, 2000, o.Seq)
-	b.table.Crashed(b.now, lost)
+	b.table.HandleCrashes(b.now, lost)
 	for i := range o.Tasks {
 		b.end(o, i, job.Lost, fleet.LeaseLapsed)
 	}
@@ -48,12 +48,12 @@
 	b := newVMs(t, 4)
 	b.submit(1, 1, 1, time.Second, 10*time.Second)
 	qt.Assert(t, b.orders, qt.HasLen, 1)
-	qt.Assert(t, b.orders[0].Tasks[0].Alone, qt.Equals, time.Duration(0))
+	qt.Assert(t, b.orders[0].Tasks[0].AloneFor, qt.Equals, time.Duration(0))
 	for i := range 3 {
 		qt.Assert(t, b.orders, qt.HasLen, i+1)
-		b.lose(b.orders[i], 5*time.Millisecond)
+		b.loseUpstream(b.orders[i], 5*time.Millisecond)
 		if i > 0 {
-			qt.Assert(t, b.orders[i].Tasks[0].Alone > 0, qt.IsTrue)
+			qt.Assert(t, b.orders[i].Tasks[0].AloneFor > 0, qt.IsTrue)
 			qt.Assert(t, b.orders[i].agent, qt.Not(qt.Equals), b.orders[i-1].agent)
 		}
 	}
@@ -71,16 +71,16 @@
 	b.submit(1, 1, 2, time.Second, 10*time.Second)
 	first := b.orders
 	if len(first) == 1 {
-		b.lose(first[0], time.Millisecond)
+		b.loseUpstream(first[0], time.Millisecond)
 	} else {
-		b.lose(first[0], time.Millisecond)
-		b.lose(first[1], time.Millisecond)
+		b.loseUpstream(first[0], time.Millisecond)
+		b.loseUpstream(first[1], time.Millisecond)
 	}
 	again := b.orders[len(first):]
 	agents := make(map[ident.Incarnation]bool)
 	for _, o := range again {
 		qt.Assert(t, o.Tasks, qt.HasLen, 1)
-		qt.Assert(t, o.Tasks[0].Alone > 0, qt.IsTrue)
+		qt.Assert(t, o.Tasks[0].AloneFor > 0, qt.IsTrue)
 		qt.Assert(t, agents[o.agent], qt.IsFalse)
 		agents[o.agent] = true
 		b.end(o, 0, job.Done, "")
@@ -96,9 +96,9 @@
 func TestOldRunsAreNotSuspected(t *testing.T) {
 	b := newVMs(t, 3)
 	b.submit(1, 1, 1, time.Second, 10*time.Second)
-	b.lose(b.orders[0], 700*time.Millisecond)
+	b.loseUpstream(b.orders[0], 700*time.Millisecond)
 	qt.Assert(t, b.orders, qt.HasLen, 2)
-	qt.Assert(t, b.orders[1].Tasks[0].Alone, qt.Equals, time.Duration(0))
+	qt.Assert(t, b.orders[1].Tasks[0].AloneFor, qt.Equals, time.Duration(0))
 }
 
 // TestNothingBesideASuspect: what waits for room finds none where a task is about to be alone.
@@ -106,7 +106,7 @@
 	b := newVMs(t, 2)
 	b.submit(1, 1, 1, time.Second, 10*time.Second)
 	lost := b.orders[0]
-	b.lose(lost, time.Millisecond)
+	b.loseUpstream(lost, time.Millisecond)
 	suspect := b.orders[1]
 	b.submit(2, 2, 1, time.Second, 10*time.Second)
 	qt.Assert(t, b.orders, qt.HasLen, 2)
@@ -118,8 +118,8 @@
 func TestRefusalTellsOfClosedRoom(t *testing.T) {
 	b := newVMs(t, 2)
 	b.submit(1, 1, 1, time.Second, 10*time.Second)
-	b.lose(b.orders[0], time.Millisecond)
-	qt.Assert(t, b.orders[1].Tasks[0].Alone > 0, qt.IsTrue)
+	b.loseUpstream(b.orders[0], time.Millisecond)
+	qt.Assert(t, b.orders[1].Tasks[0].AloneFor > 0, qt.IsTrue)
 	b.submit(2, 2, 1, 80*time.Millisecond, 10*time.Second)
 	b.pass(100 * time.Millisecond)
 	qt.Assert(t, b.answers[2].Reason, qt.Equals, verdict.Overloaded)
@@ -140,13 +140,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newVMs(t, 1)
 			b.submit(1, 1, 1, time.Second, 10*time.Second)
-			b.table.Unlinked(b.now, 1)
+			b.table.HandleUnlinked(b.now, 1)
 			b.pass(timing.SettleAfter() + 40*time.Millisecond)
-			b.table.Linked(b.now, 2, "0000000000000001", "z")
-			b.table.Upstream(b.now, 2, fleet.Upstream{ID: c.up, Service: "publish", Total: job.Resources{CPU: 2000}})
+			b.table.HandleLinked(b.now, 2, "0000000000000001", "z")
+			b.table.HandleUpstream(b.now, 2, fleet.Upstream{ID: c.up, Service: "publish", Total: job.Resources{CPU: 2000}})
 			b.room(2, fleet.Ready, 2000, 0)
 			qt.Assert(t, b.orders, qt.HasLen, 2)
-			qt.Assert(t, b.orders[1].Tasks[0].Alone > 0, qt.Equals, c.alone)
+			qt.Assert(t, b.orders[1].Tasks[0].AloneFor > 0, qt.Equals, c.alone)
 		})
 	}
 }
@@ -173,7 +173,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newVMs(t, c.vms)
 			if c.service != "" {
-				b.table.Upstream(b.now, 2, fleet.Upstream{ID: "0000000000000002", Service: c.service, Total: job.Resources{CPU: 2000}})
+				b.table.HandleUpstream(b.now, 2, fleet.Upstream{ID: "0000000000000002", Service: c.service, Total: job.Resources{CPU: 2000}})
 			}
 			b.submit(1, 1, 1, time.Second, time.Minute)
 			first := b.orders[0].agent
@@ -181,17 +181,17 @@
 			if c.vms > 1 {
 				b.room(other, fleet.Unreachable, 2000, 0)
 			}
-			b.lose(b.orders[0], time.Millisecond)
+			b.loseUpstream(b.orders[0], time.Millisecond)
 			again := func(life ident.UpstreamID) {
-				b.table.Upstream(b.now, first, fleet.Upstream{ID: life, Service: "publish", Total: job.Resources{CPU: 2000}})
+				b.table.HandleUpstream(b.now, first, fleet.Upstream{ID: life, Service: "publish", Total: job.Resources{CPU: 2000}})
 				b.room(first, fleet.Ready, 2000, 100)
 			}
 			again("second")
 			qt.Assert(t, b.orders, qt.HasLen, 2)
-			qt.Assert(t, b.orders[1].Tasks[0].Alone > 0, qt.IsTrue)
+			qt.Assert(t, b.orders[1].Tasks[0].AloneFor > 0, qt.IsTrue)
 			o := b.orders[1]
-			b.table.Crashed(b.now, []fleet.Crash{{
-				Task: o.Task(0), VM: ident.UpstreamName(first.String()), Life: ident.UpstreamLife{ID: "second"}, Loss: 2, After: time.Millisecond, Alone: true, Sole: true,
+			b.table.HandleCrashes(b.now, []fleet.Crash{{
+				Task: o.Task(0), VM: ident.UpstreamName(first.String()), Life: ident.UpstreamLife{ID: "second"}, Loss: 2, Age: time.Millisecond, Alone: true, OnlyTask: true,
 			}})
 			b.room(first, fleet.Unreachable, 2000, o.Seq)
 			b.end(o, 0, job.Lost, fleet.LeaseLapsed)
@@ -214,7 +214,7 @@
 	b.submit(1, 1, 1, time.Second, 10*time.Second)
 	b.room(1, fleet.Suspect, 2000, 0)
 	b.room(2, fleet.Suspect, 2000, 0)
-	b.lose(b.orders[0], time.Millisecond)
+	b.loseUpstream(b.orders[0], time.Millisecond)
 	qt.Assert(t, b.orders, qt.HasLen, 1)
 	other := 3 - b.orders[0].agent
 	b.room(other, fleet.Probing, 2000, 0)
@@ -237,12 +237,12 @@
 		lost := slices.Clone(b.orders)
 		qt.Assert(t, lost, qt.HasLen, suspects)
 		for _, o := range lost {
-			b.lose(o, time.Millisecond)
+			b.loseUpstream(o, time.Millisecond)
 			b.room(o.agent, fleet.Ready, 2000, o.Seq)
 		}
 		closed := 0
 		for _, o := range b.orders[len(lost):] {
-			if o.Tasks[0].Alone > 0 {
+			if o.Tasks[0].AloneFor > 0 {
 				closed++
 			}
 		}
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -17,9 +17,9 @@
 	"hillreel/internal/core/rule"
 	"hillreel/internal/core/verdict"
 	"hillreel/internal/entry/demand"
-	"hillreel/internal/entry/doubt"
 	"hillreel/internal/entry/holders"
 	"hillreel/internal/entry/queue"
+	"hillreel/internal/entry/unconfirmed"
 )
 
 // CallerID names one request of a caller that waits for an answer.
@@ -33,16 +33,16 @@
 	Route  route.Route
 	Caller CallerID
 	// Sender is the caller's own id of the request, for the log; it may be empty.
-	Sender string
+	RequestID string
 	// Deadline is when the caller stops waiting; zero is never.
 	Deadline time.Time
 	// Kept is nil for a job that ends with its entry. For others it is what is known of the job; no caller waits, and the
 	// Keeper hears of its ends.
-	Kept *Kept
+	Kept *KeptState
 }
 
 // Kept is what is known of a job that outlives entries, as it begins here.
-type Kept struct {
+type KeptState struct {
 	// Done are the tasks that have ended well, Failures counts the failed runs of others.
 	Done     map[job.TaskID]bool
 	Failures map[job.TaskID]int
@@ -53,7 +53,7 @@
 	// Late: the job was taken over from another entry, and can't be in time any more.
 	Late bool
 	// Runs is the highest number of a run that an earlier entry may have used.
-	Runs job.Run
+	LastRun job.Run
 }
 
 // Keeper keeps jobs that outlive entries.
@@ -88,13 +88,13 @@
 	// Stop asks for the end of a run: nobody wants it any more, or, with fleet.Moved, its task is to go elsewhere.
 	Stop(agent ident.Incarnation, r fleet.OrderedRun, why fleet.Reason)
 	// Crashes tells all agents of tasks that upstreams were lost under.
-	Crashes(all []fleet.Crash)
+	SendCrashes(all []fleet.Crash)
 	// Holding tells an agent, for its other entries, which jobs this entry has held for long.
-	Holding(agent ident.Incarnation, jobs []job.ID)
+	AnnounceHeld(agent ident.Incarnation, jobs []job.ID)
 	// Release asks for a job that another entry holds, which the agent passes on if that is linked.
-	Release(agent ident.Incarnation, id job.ID, holder ident.Incarnation)
+	RequestRelease(agent ident.Incarnation, id job.ID, holder ident.Incarnation)
 	// Released tells an agent, for the entry that takes a job over, that nothing of it remains.
-	Released(agent ident.Incarnation, r fleet.Released)
+	SendReleased(agent ident.Incarnation, r fleet.Released)
 }
 
 // Callers answers callers.
@@ -113,15 +113,15 @@
 	// Answered is called once for each job.
 	Answered(j job.ID, r *route.Route, a Answer, s Summary)
 	// StopsAsked is called when runs of a job are to be stopped.
-	StopsAsked(s Stops)
+	StopsRequested(s Stops)
 	// CameAgain is called for a request of a job that is held.
-	CameAgain(r *Request, h Holding)
+	Resubmitted(r *Request, h HeldJob)
 	// OutOfTouch is called when the entry has heard nothing for so long that its callers may have gone unheard, with how many jobs are given up.
 	OutOfTouch(silent time.Duration, jobs int)
 	// Belated is called for a request that waits for the end of its connection, which may come right behind it.
 	Belated(r *Request)
 	// TakenOver is called when a job is asked for that another entry holds, or is given up to one that asks.
-	TakenOver(id job.ID, other ident.Incarnation, waited time.Duration, event TakeoverEvent)
+	TakeoverChanged(id job.ID, other ident.Incarnation, waited time.Duration, event TakeoverEvent)
 	// AgentChanged is called when the session with an agent ends or goes on while runs of this entry are there, and when
 	// those runs are settled; runs is how many the event is about.
 	AgentChanged(agent ident.UpstreamName, runs int, event AgentEvent)
@@ -149,7 +149,7 @@
 	Took, Waited time.Duration
 	Objective    time.Duration
 	// Sender is the newest caller's own id of the request.
-	Sender string
+	RequestID string
 	// Tasks is the number of tasks, Runs that of their runs, Failures that of the failed ones.
 	Tasks, Runs, Failures int
 	// Longest is the run time of the longest task.
@@ -157,7 +157,7 @@
 	// Blamed are the upstreams that failed, stalled or lost a run.
 	Blamed []ident.UpstreamID
 	// SentBefore: it was taken for one that its caller had sent before, and went behind others.
-	SentBefore bool
+	Resent bool
 	// Queued is the number of jobs that waited for room when the answer was given.
 	Queued int
 	// Room is what a refused job could have had when it was refused; it is empty for others.
@@ -168,8 +168,8 @@
 // can't be used.
 type RoomLeft struct {
 	// Wants is what a task of the job's widest step asks for, in thousandths of a core; Tasks is how many of them wait.
-	Wants int64
-	Tasks int
+	TaskCPU int64
+	Tasks   int
 	// Ready counts the upstreams that take work, Fits how many more such tasks they have room for together.
 	Ready, Fits int
 	// Closed is how many upstreams this entry has closed for tasks that may have crashed others.
@@ -203,52 +203,52 @@
 	jobs   map[job.ID]*jobState
 	queues map[ident.Service]*queue.Queue[*jobState]
 	// queued lists the queues in the order in which they were made, so that runs repeat.
-	queued []*queue.Queue[*jobState]
-	agents map[ident.Incarnation]*upstreamOf
+	queueList []*queue.Queue[*jobState]
+	agents    map[ident.Incarnation]*agentState
 	// order lists the agents in the order in which they were linked, so that runs repeat.
-	order []*upstreamOf
+	agentList []*agentState
 	// began is when Tick was called first, ticked when it was last. The process last stood still from stoodFrom until woke.
-	began, ticked, stoodFrom, woke time.Time
+	firstTick, lastTick, pausedFrom, pausedUntil time.Time
 	// pressure is how much more than what fits was lately asked for.
 	pressure demand.Pressure
 	// patient tells which callers have sent their job before.
-	patient *demand.Callers
+	resends *demand.ResendDetector
 	// crashes is what is known of the tasks that upstreams were lost under.
-	crashes *crash.Account
+	crashes *crash.Tracker
 	// alone are the runs that upstreams are closed for; entries is how many entries share the upstreams, one at least.
-	alone   []aloneRun
-	entries int
+	exclusive []exclusiveRun
+	entries   int
 	// doubts are runs that were lost with their agents.
-	doubts doubt.List
+	unconfirmed unconfirmed.Crashes
 	// paces are those of the agents that are linked, sorted; pace is their median, 1 while none is known.
 	paces []float64
 	pace  float64
 	// fresh is true while there are tasks to place for which no agent was looked at yet.
-	fresh bool
+	unplaced bool
 	// lost counts the agents that were linked and are not.
-	lost int
+	lostAgents int
 	// allowed tells whether configuration lets an upstream serve a service.
 	allowed Allowed
 	// cordoned are the availability zones that operators have cordoned, gated counts by zone the orders that agents have refused
 	// for that reason.
-	cordoned []ident.Zone
-	gated    map[ident.Zone]int64
+	cordoned       []ident.Zone
+	cordonRefusals map[ident.Zone]int64
 	// touch says whether the entry is in touch, belated are requests that came soon after it was not.
-	touch   touch
+	contact contact
 	belated []belatedRequest
 	// elsewhere is which jobs other entries hold; releases are the jobs that they were asked to give up, owed the answers to such questions
 	// of others that wait for the end of runs.
-	elsewhere *holders.Account
-	releases  map[job.ID]*release
-	owed      map[job.ID][]owed
+	holders  *holders.Registry
+	releases map[job.ID]*releaseRequest
+	replies  map[job.ID][]releaseReply
 	// relay counts the messages that agents were asked to pass on.
-	relay int
+	nextRelay int
 	// closing is true once the entry is about to end.
 	closing bool
 	// ordered is the id of the newest run.
-	ordered fleet.RunID
+	lastRunID fleet.RunID
 	// stopped are the runs that stops were sent for, until the observer is told.
-	stopped []RunAt
+	unreportedStops []RunAt
 }
 
 // New returns an empty Table. The seed makes runs repeatable.
@@ -256,8 +256,8 @@
 	return &Table{
 		opts: o, agentsIO: a, callers: c, observer: ob, rng: rand.New(rand.NewPCG(seed, 0)),
 		jobs: make(map[job.ID]*jobState), queues: make(map[ident.Service]*queue.Queue[*jobState]),
-		agents: make(map[ident.Incarnation]*upstreamOf), pace: 1, entries: 1, patient: demand.NewCallers(), crashes: crash.New(o.Without), gated: make(map[ident.Zone]int64),
-		elsewhere: holders.New(), releases: make(map[job.ID]*release), owed: make(map[job.ID][]owed),
+		agents: make(map[ident.Incarnation]*agentState), pace: 1, entries: 1, resends: demand.NewResendDetector(), crashes: crash.New(o.Without), cordonRefusals: make(map[ident.Zone]int64),
+		holders: holders.New(), releases: make(map[job.ID]*releaseRequest), replies: make(map[job.ID][]releaseReply),
 		allowed: func(ident.UpstreamName, ident.Zone, ident.Service) bool { return true },
 	}
 }
@@ -280,17 +280,17 @@
 // Held tells whether a job waits for its answer.
 func (t *Table) Held(id job.ID) bool {
 	j := t.jobs[id]
-	return j != nil && j.awaited() || t.isBelated(id)
+	return j != nil && j.hasWaitingCallers() || t.isBelated(id)
 }
 
 // awaited tells whether callers wait for the job's answer, or for that of its successor.
-func (j *jobState) awaited() bool { return !j.ending || len(j.again) > 0 }
+func (j *jobState) hasWaitingCallers() bool { return !j.ending || len(j.resubmitted) > 0 }
 
 // Unanswered returns how many jobs have callers that wait.
 func (t *Table) Unanswered() int {
 	n := len(t.belated)
 	for _, j := range t.jobs {
-		if j.awaited() {
+		if j.hasWaitingCallers() {
 			n++
 		}
 	}
@@ -314,7 +314,7 @@
 // waitingJobs counts the jobs that have tasks to place.
 func (t *Table) waitingJobs() int {
 	n := 0
-	for _, q := range t.queued {
+	for _, q := range t.queueList {
 		n += q.Len()
 	}
 	return n
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -39,48 +39,50 @@
 }
 
 // bench drives a Table by hand.
-type bench struct {
+type harness struct {
 	t      *testing.T
 	now    time.Time
 	table  *dispatch.Table
 	orders []order
 	// questions are the orders without tasks.
-	questions []order
-	stops     []stop
-	answers   map[dispatch.CallerID]dispatch.Answer
+	queries []order
+	stops   []stop
+	answers map[dispatch.CallerID]dispatch.Answer
 	// summaries are what the answers rested on.
 	summaries map[job.ID]dispatch.Summary
 	// told and again are what observers heard of stops, and of callers that came again.
-	told  []dispatch.Stops
-	again []dispatch.Holding
+	stopReports   []dispatch.Stops
+	resubmissions []dispatch.HeldJob
 	takeovers
 }
 
-func (b *bench) Order(a ident.Incarnation, o fleet.Order) {
+func (b *harness) Order(a ident.Incarnation, o fleet.Order) {
 	if len(o.Tasks) == 0 {
-		b.questions = append(b.questions, order{a, o})
+		b.queries = append(b.queries, order{a, o})
 		return
 	}
 	b.orders = append(b.orders, order{a, o})
 }
-func (b *bench) Crashes([]fleet.Crash) {}
+func (b *harness) SendCrashes([]fleet.Crash) {}
 
-func (b *bench) Stop(a ident.Incarnation, r fleet.OrderedRun, why fleet.Reason) {
+func (b *harness) Stop(a ident.Incarnation, r fleet.OrderedRun, why fleet.Reason) {
 	b.stops = append(b.stops, stop{a, r, why})
 }
-func (b *bench) Answer(c dispatch.CallerID, a dispatch.Answer)                  { b.answers[c] = a }
-func (b *bench) Placed(job.ID, ident.UpstreamName, *fleet.Order, time.Duration) {}
-func (b *bench) Ended(ident.UpstreamName, fleet.End, string)                    {}
-func (b *bench) AgentChanged(ident.UpstreamName, int, dispatch.AgentEvent)      {}
-func (b *bench) Taken(*dispatch.Request)                                        {}
-func (b *bench) StopsAsked(s dispatch.Stops)                                    { b.told = append(b.told, s) }
-func (b *bench) CameAgain(_ *dispatch.Request, h dispatch.Holding)              { b.again = append(b.again, h) }
-func (b *bench) OutOfTouch(time.Duration, int)                                  {}
-func (b *bench) Belated(*dispatch.Request)                                      {}
+func (b *harness) Answer(c dispatch.CallerID, a dispatch.Answer)                  { b.answers[c] = a }
+func (b *harness) Placed(job.ID, ident.UpstreamName, *fleet.Order, time.Duration) {}
+func (b *harness) Ended(ident.UpstreamName, fleet.End, string)                    {}
+func (b *harness) AgentChanged(ident.UpstreamName, int, dispatch.AgentEvent)      {}
+func (b *harness) Taken(*dispatch.Request)                                        {}
+func (b *harness) StopsRequested(s dispatch.Stops)                                { b.stopReports = append(b.stopReports, s) }
+func (b *harness) Resubmitted(_ *dispatch.Request, h dispatch.HeldJob) {
+	b.resubmissions = append(b.resubmissions, h)
+}
+func (b *harness) OutOfTouch(time.Duration, int) {}
+func (b *harness) Belated(*dispatch.Request)     {}
 
 // newBench returns a Table with agents 1 to n linked, each with an upstream of the same number and two cores.
-func newBench(t *testing.T, n int) *bench {
-	b := &bench{t: t, now: time.Unix(1000, 0), answers: make(map[dispatch.CallerID]dispatch.Answer)}
+func newHarness(t *testing.T, n int) *harness {
+	b := &harness{t: t, now: time.Unix(1000, 0), answers: make(map[dispatch.CallerID]dispatch.Answer)}
 	b.table = dispatch.New(dispatch.Options{Timing: timing, Zone: "z", MaxQueue: 10, MaxTasks: 20}, b, b, b, 1)
 	b.table.Tick(b.now)
 	for i := 1; i <= n; i++ {
@@ -90,28 +92,28 @@
 	return b
 }
 
-func (b *bench) link(id ident.Incarnation) {
-	b.table.Linked(b.now, id, "vm", "z")
-	b.table.Upstream(b.now, id, fleet.Upstream{ID: ident.UpstreamID(id.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
+func (b *harness) link(id ident.Incarnation) {
+	b.table.HandleLinked(b.now, id, "vm", "z")
+	b.table.HandleUpstream(b.now, id, fleet.Upstream{ID: ident.UpstreamID(id.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
 }
 
-func (b *bench) room(id ident.Incarnation, s fleet.State, cpu int64, seq uint64) {
-	b.table.Room(b.now, id, fleet.Room{Free: job.Resources{CPU: cpu}, State: s, Seq: seq})
+func (b *harness) room(id ident.Incarnation, s fleet.State, cpu int64, seq uint64) {
+	b.table.HandleRoom(b.now, id, fleet.Room{Free: job.Resources{CPU: cpu}, State: s, Seq: seq})
 }
 
-func (b *bench) submit(id job.ID, c dispatch.CallerID, count uint32, estimate, patience time.Duration) {
+func (b *harness) submit(id job.ID, c dispatch.CallerID, count uint32, estimate, patience time.Duration) {
 	b.table.Submit(b.now, dispatch.Request{
 		Job: id, Route: queue, Caller: c, Deadline: b.now.Add(patience),
 		Spec: &job.Spec{Text: "x", BestEffort: true, Steps: []job.Step{{Count: count, Each: job.Resources{CPU: 1000}, Estimate: estimate}}},
 	})
 }
 
-func (b *bench) end(o order, i int, what job.Outcome, why fleet.Reason) {
-	b.table.Ended(b.now, o.agent, fleet.End{Task: o.Task(i), Run: o.Tasks[i].Run, ID: o.Tasks[i].ID, Outcome: what, Reason: why})
+func (b *harness) end(o order, i int, what job.Outcome, why fleet.Reason) {
+	b.table.HandleEnd(b.now, o.agent, fleet.End{Task: o.Task(i), Run: o.Tasks[i].Run, ID: o.Tasks[i].ID, Outcome: what, Reason: why})
 }
 
 // pass lets time pass in ticks.
-func (b *bench) pass(d time.Duration) {
+func (b *harness) pass(d time.Duration) {
 	for range int(d / (20 * time.Millisecond)) {
 		b.now = b.now.Add(20 * time.Millisecond)
 		b.table.Tick(b.now)
@@ -133,7 +135,7 @@
 		{"too many tasks", spec(21), verdict.TooLarge},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, 1)
+			b := newHarness(t, 1)
 			b.table.Submit(b.now, dispatch.Request{Job: 1, Spec: test.spec, Route: queue, Caller: 1})
 			qt.Assert(t, b.answers[1].State, qt.Equals, verdict.Refused)
 			qt.Assert(t, b.answers[1].Verdict, qt.Equals, verdict.NotRun)
@@ -152,7 +154,7 @@
 		{Outcome: job.Done},
 	} {
 		t.Run(string(late.Outcome), func(t *testing.T) {
-			b := newBench(t, 1)
+			b := newHarness(t, 1)
 			b.submit(7, 1, 1, time.Second, time.Minute)
 			b.room(1, fleet.Ready, 2000, 1)
 			former := b.orders[0]
@@ -164,7 +166,7 @@
 			again := b.orders[1]
 			qt.Assert(t, again.Tasks[0].Run, qt.Equals, former.Tasks[0].Run)
 			late.Task, late.Run, late.ID = former.Task(0), former.Tasks[0].Run, former.Tasks[0].ID
-			qt.Assert(t, b.table.Ended(b.now, 1, late), qt.IsFalse)
+			qt.Assert(t, b.table.HandleEnd(b.now, 1, late), qt.IsFalse)
 			qt.Assert(t, b.orders, qt.HasLen, 2)
 			qt.Assert(t, b.answers, qt.HasLen, 0)
 			b.end(again, 0, job.Done, "")
@@ -193,8 +195,8 @@
 		{"no upstream takes work, and the estimate leaves nothing", fleet.Clearing, 2000, 3, time.Second, 425 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, 1)
-			b.table.Room(b.now, 1, fleet.Room{Free: job.Resources{CPU: test.cpu}, State: test.state, Pace: test.pace})
+			b := newHarness(t, 1)
+			b.table.HandleRoom(b.now, 1, fleet.Room{Free: job.Resources{CPU: test.cpu}, State: test.state, Pace: test.pace})
 			b.submit(7, 1, 1, test.estimate, time.Minute)
 			if test.waits == 0 {
 				qt.Assert(t, b.orders, qt.HasLen, 1)
@@ -214,7 +216,7 @@
 // TestFailures: a task that fails runs elsewhere, its job fails after enough different upstreams, and a stalled or
 // refused run is no failure.
 func TestFailures(t *testing.T) {
-	b := newBench(t, 4)
+	b := newHarness(t, 4)
 	b.submit(7, 1, 1, time.Second, time.Minute)
 	seen := make(map[ident.Incarnation]bool)
 	for i := range 3 {
@@ -240,7 +242,7 @@
 
 // TestSentAgain: what happens to a job whose id is held already.
 func TestSentAgain(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	b.submit(7, 1, 1, time.Second, time.Minute)
 	b.submit(7, 2, 1, time.Second, time.Minute)
 	qt.Assert(t, b.orders, qt.HasLen, 1) // it joins the run
@@ -272,7 +274,7 @@
 		{"patience may remain", 4 * time.Second, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, 1)
+			b := newHarness(t, 1)
 			b.now = b.now.Add(2 * time.Second)
 			b.table.Tick(b.now)
 			b.room(1, fleet.Ready, 2000, 0)
@@ -287,7 +289,7 @@
 
 // TestOneProbe: a suspect upstream gets one task from the entry whose turn it is.
 func TestOneProbe(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	b.room(1, fleet.Suspect, 2000, 0)
 	b.submit(7, 1, 2, time.Second, time.Minute)
 	qt.Assert(t, b.orders, qt.HasLen, 0)
@@ -298,7 +300,7 @@
 
 // TestSteps: a step begins when those before it have ended, and no more of its tasks than allowed share an upstream.
 func TestSteps(t *testing.T) {
-	b := newBench(t, 2)
+	b := newHarness(t, 2)
 	b.table.Submit(b.now, dispatch.Request{Job: 7, Route: queue, Caller: 1, Spec: &job.Spec{BestEffort: true, Steps: []job.Step{
 		{Count: 1, Each: job.Resources{CPU: 1000}, Estimate: time.Second},
 		{Count: 2, Each: job.Resources{CPU: 1000}, Estimate: time.Second, After: []uint32{0}, MaxPerUpstream: 1},
@@ -330,15 +332,15 @@
 		{"no room elsewhere", 200 * time.Millisecond, 5 * time.Second, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, 2)
+			b := newHarness(t, 2)
 			b.submit(7, 1, 1, time.Second, time.Minute)
 			o := b.orders[0]
 			other := 3 - o.agent
 			b.pass(test.passed)
 			b.room(other, fleet.Ready, test.room, 0)
 			progress := []fleet.Progress{{OrderedRun: o.run(0), Left: test.left}}
-			b.table.Progress(b.now, o.agent, progress)
-			b.table.Progress(b.now, o.agent, progress)
+			b.table.HandleProgress(b.now, o.agent, progress)
+			b.table.HandleProgress(b.now, o.agent, progress)
 			if !test.moves {
 				qt.Assert(t, b.stops, qt.HasLen, 0)
 				return
@@ -367,11 +369,11 @@
 		{"slow, and in time there", 2, 20 * time.Millisecond, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, 3)
+			b := newHarness(t, 3)
 			for i := ident.Incarnation(1); i <= 2; i++ {
-				b.table.Room(b.now, i, fleet.Room{State: fleet.Ready, Pace: 1})
+				b.table.HandleRoom(b.now, i, fleet.Room{State: fleet.Ready, Pace: 1})
 			}
-			b.table.Room(b.now, 3, fleet.Room{Free: job.Resources{CPU: 2000}, State: fleet.Ready, Pace: test.pace})
+			b.table.HandleRoom(b.now, 3, fleet.Room{Free: job.Resources{CPU: 2000}, State: fleet.Ready, Pace: test.pace})
 			b.submit(7, 1, 1, test.estimate, time.Minute)
 			if test.waits > 0 {
 				b.pass(test.waits - 25*time.Millisecond)
@@ -387,9 +389,9 @@
 // TestKeptJobWaitsForItsId: an id that runs as a job that is not kept, and is sent again as one to be kept, begins as that
 // once the first has ended; before, it never began, and was called running for ever.
 func TestKeptJobWaitsForItsId(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	b.submit(7, 1, 1, time.Second, time.Minute)
-	b.table.Submit(b.now, dispatch.Request{Job: 7, Route: queue, Kept: &dispatch.Kept{}, Spec: &job.Spec{
+	b.table.Submit(b.now, dispatch.Request{Job: 7, Route: queue, Kept: &dispatch.KeptState{}, Spec: &job.Spec{
 		Text: "another", Steps: []job.Step{{Count: 2, Each: job.Resources{CPU: 500}, Estimate: time.Second}},
 	}})
 	qt.Assert(t, b.orders, qt.HasLen, 1)
--- a/internal/entry/dispatch/ends.go
+++ b/internal/entry/dispatch/ends.go
@@ -8,7 +8,7 @@
 	"hillreel/internal/core/ident"
 	"hillreel/internal/core/job"
 	"hillreel/internal/core/verdict"
-	"hillreel/internal/entry/repeat"
+	"hillreel/internal/entry/retry"
 )
 
 // minAttempts is how many failed runs at different upstreams it takes at least to fail a job that need not be
@@ -16,7 +16,7 @@
 const minAttempts = 3
 
 // attempts is after how many failed runs of a task the job has failed. For kept jobs the platform counts.
-func (j *jobState) attempts() int {
+func (j *jobState) maxAttempts() int {
 	if j.kept {
 		return max(j.route.Attempts, 1)
 	}
@@ -25,10 +25,10 @@
 
 // usedStep is by how much a run's number rises when the upstream has seen it: the job was sent before, and its
 // earlier entry has used numbers from 1 on.
-const usedStep = 8
+const usedRunSkip = 8
 
 // Ended handles the end of a run, and tells whether it was one that this entry waits for.
-func (t *Table) Ended(now time.Time, id ident.Incarnation, e fleet.End) bool {
+func (t *Table) HandleEnd(now time.Time, id ident.Incarnation, e fleet.End) bool {
 	a := t.agents[id]
 	if a == nil {
 		return false
@@ -37,18 +37,18 @@
 	if k == nil || k.run != e.Run || k.runID != e.ID {
 		return false
 	}
-	t.ended(now, a, k, e)
-	if t.fresh {
-		t.pump(now) // else there is nothing new to place, and news of the room follow
+	t.endRun(now, a, k, e)
+	if t.unplaced {
+		t.placeAll(now) // else there is nothing new to place, and news of the room follow
 	}
 	return true
 }
 
 // ended takes a run off its agent and decides what becomes of the task.
-func (t *Table) ended(now time.Time, a *upstreamOf, k *task, e fleet.End) {
+func (t *Table) endRun(now time.Time, a *agentState, k *task, e fleet.End) {
 	delete(a.runs, k.id)
 	j := k.job
-	j.out--
+	j.outstanding--
 	j.longest = max(j.longest, e.Took)
 	if e.Checkpoint != "" {
 		k.checkpoint = e.Checkpoint
@@ -59,29 +59,29 @@
 	}
 	switch {
 	case j.ending:
-		k.phase = over
+		k.phase = finished
 		t.observer.Ended(a.Name, e, "given_up")
-		t.forget(now, j)
+		t.removeIfDone(now, j)
 	case e.Reason == fleet.Superseded && j.kept:
 		t.observer.Ended(a.Name, e, "job_superseded")
-		k.phase = over
+		k.phase = finished
 		t.keeper.Superseded(now, j.id)
 	case e.Reason == fleet.Superseded:
 		// The caller has sent the job to another entry; two entries that kept at it would stop each other's runs.
 		t.observer.Ended(a.Name, e, "job_superseded")
-		k.phase = over
+		k.phase = finished
 		t.close(now, j, superseded)
 	default:
 		if e.Reason == fleet.ZoneCordoned {
-			t.gatedAt(a)
+			t.recordCordonRefusal(a)
 		}
-		k.learn(a.Up.ID, e.Outcome)
-		t.goOn(now, a, k, e)
+		k.recordOutcome(a.Upstream.ID, e.Outcome)
+		t.decideNext(now, a, k, e)
 	}
 }
 
 // learn notes what a run's outcome says of its task, its job and the upstream.
-func (k *task) learn(upstream ident.UpstreamID, o job.Outcome) {
+func (k *task) recordOutcome(upstream ident.UpstreamID, o job.Outcome) {
 	j := k.job
 	if o == job.Failed || o == job.Stalled || o == job.Lost {
 		j.blamed = append(j.blamed, upstream)
@@ -90,11 +90,11 @@
 	case job.Failed:
 		j.failures++
 		k.failures++
-		k.shun(upstream)
+		k.avoidUpstream(upstream)
 	case job.Stalled:
-		k.shun(upstream)
+		k.avoidUpstream(upstream)
 	case job.Used:
-		k.run += usedStep
+		k.run += usedRunSkip
 		j.runs--
 	case job.NotStarted:
 		// Nothing was started: what this job has begun is unchanged.
@@ -103,24 +103,24 @@
 }
 
 // goOn ends a task, or its job, or lets the task be placed again.
-func (t *Table) goOn(now time.Time, a *upstreamOf, k *task, e fleet.End) {
+func (t *Table) decideNext(now time.Time, a *agentState, k *task, e fleet.End) {
 	j := k.job
-	action := repeat.After(repeat.Ended{
-		Outcome: e.Outcome, Reason: e.Reason, Failures: k.failures, Attempts: j.attempts(), Kept: j.kept, StoreFirst: t.mustStore(k, e.Outcome),
+	action := retry.Decide(retry.End{
+		Outcome: e.Outcome, Reason: e.Reason, Failures: k.failures, MaxAttempts: j.maxAttempts(), Kept: j.kept, StoreFirst: t.mustStoreCrash(k, e.Outcome),
 	})
 	t.observer.Ended(a.Name, e, string(action))
 	switch action {
-	case repeat.Done:
-		t.done(now, k)
-	case repeat.JobFails:
-		k.phase = over
+	case retry.Done:
+		t.completeTask(now, k)
+	case retry.FailJob:
+		k.phase = finished
 		t.close(now, j, Answer{State: verdict.Failed, Verdict: verdict.Ran, Reason: verdict.TaskFailed})
-	case repeat.Doubtful:
-		k.phase = doubtful
-		t.keeper.RunLost(now, k.ref())
-	case repeat.Again:
+	case retry.AwaitStore:
+		k.phase = awaitingStore
+		t.keeper.RunLost(now, k.runRef())
+	case retry.Retry:
 		j.begun = j.begun && (j.runs > 0)
-		t.wait(k)
+		t.enqueue(k)
 	}
 }
 
@@ -130,16 +130,16 @@
 	if j == nil || j.ending {
 		return
 	}
-	if k := j.task(id); k != nil && k.phase == doubtful {
-		t.wait(k)
-		t.pump(now)
+	if k := j.task(id); k != nil && k.phase == awaitingStore {
+		t.enqueue(k)
+		t.placeAll(now)
 	}
 }
 
 // done ends a task well, and its job with the last one.
-func (t *Table) done(now time.Time, k *task) {
+func (t *Table) completeTask(now time.Time, k *task) {
 	j := k.job
-	k.phase = over
+	k.phase = finished
 	j.remaining--
 	step := &j.steps[k.id.Step]
 	step.left--
@@ -154,24 +154,24 @@
 
 // Tick does what time alone brings about.
 func (t *Table) Tick(now time.Time) {
-	t.touch.tick(now)
-	if !t.ticked.IsZero() && now.Sub(t.ticked) > t.opts.Timing.Silence {
-		t.stoodFrom, t.woke = t.ticked, now
-		t.touch.wake(now)
+	t.contact.countListening(now)
+	if !t.lastTick.IsZero() && now.Sub(t.lastTick) > t.opts.Timing.Silence {
+		t.pausedFrom, t.pausedUntil = t.lastTick, now
+		t.contact.recordPause(now)
 	}
-	if t.began.IsZero() {
-		t.began = now
+	if t.firstTick.IsZero() {
+		t.firstTick = now
 	}
-	t.ticked = now
-	t.awaitTouch(now)
+	t.lastTick = now
+	t.giveUpSilentCallers(now)
 	t.settleSilent(now)
-	t.takeBelated(now)
-	t.tellHeld(now)
-	t.refuseNowhere(now)
+	t.submitBelated(now)
+	t.announceHeld(now)
+	t.refuseAllCordoned(now)
 	for _, j := range t.dueJobs(now) {
-		t.giveUp(now, j)
+		t.giveUpIfDue(now, j)
 	}
-	t.pump(now)
+	t.placeAll(now)
 }
 
 // expired tells whether a job's caller waits no longer.
@@ -180,26 +180,26 @@
 }
 
 // tooLate tells whether a job has waited for as long as it may, and nothing of it was offered to an upstream.
-func (j *jobState) tooLate(now time.Time) bool { return !j.begun && now.After(j.startBy) }
+func (j *jobState) waitedTooLong(now time.Time) bool { return !j.begun && now.After(j.waitUntil) }
 
 // giveUp answers a job that can't be served any more.
-func (t *Table) giveUp(now time.Time, j *jobState) {
+func (t *Table) giveUpIfDue(now time.Time, j *jobState) {
 	switch {
 	case j.ending:
 		return
 	case j.expired(now):
 		t.expireJob(now, j)
-	case !j.tooLate(now):
+	case !j.waitedTooLong(now):
 		return
 	case j.kept:
-		t.fallBehind(j)
+		t.demote(j)
 	default:
 		t.close(now, j, refused(verdict.Overloaded))
 	}
 }
 
 // fallBehind lets a kept job that can't be in time any more wait behind those that can.
-func (t *Table) fallBehind(j *jobState) {
+func (t *Table) demote(j *jobState) {
 	if j.late {
 		return
 	}
@@ -224,8 +224,8 @@
 
 // settleSilent settles agents that have been lost for so long that nothing runs there any more.
 func (t *Table) settleSilent(now time.Time) {
-	for _, a := range slices.Clone(t.order) {
-		if !a.Linked && now.Sub(a.Heard) >= t.opts.Timing.SettleAfter() {
+	for _, a := range slices.Clone(t.agentList) {
+		if !a.Linked && now.Sub(a.ClockReadAt) >= t.opts.Timing.SettleAfter() {
 			t.settle(now, a, fleet.AgentSilent)
 		}
 	}
@@ -235,10 +235,10 @@
 func (t *Table) dueJobs(now time.Time) []*jobState {
 	var due []*jobState
 	for _, j := range t.jobs {
-		if !j.ending && (j.expired(now) || !(j.kept && j.late) && j.tooLate(now)) {
+		if !j.ending && (j.expired(now) || !(j.kept && j.late) && j.waitedTooLong(now)) {
 			due = append(due, j)
 		}
 	}
-	slices.SortFunc(due, before)
+	slices.SortFunc(due, compareJobs)
 	return due
 }
--- a/internal/entry/dispatch/job.go
+++ b/internal/entry/dispatch/job.go
@@ -23,9 +23,9 @@
 	// lost: its agent is lost, and it may still run there.
 	lost phase = "lost"
 	// doubtful: nothing of it runs, but its last run may have ended well at an agent that is out of hearing.
-	doubtful phase = "doubtful"
+	awaitingStore phase = "doubtful"
 	// over: nothing remains to be done.
-	over phase = "over"
+	finished phase = "over"
 )
 
 // task is one task of a job.
@@ -36,7 +36,7 @@
 	// run is the newest run's number, runID its id.
 	run      job.Run
 	runID    fleet.RunID
-	agent    *upstreamOf
+	agent    *agentState
 	failures int
 	// checkpoint is the newest one that a run has saved; empty is none.
 	checkpoint string
@@ -47,17 +47,19 @@
 }
 
 // shun lets the task avoid an upstream.
-func (k *task) shun(upstream ident.UpstreamID) {
+func (k *task) avoidUpstream(upstream ident.UpstreamID) {
 	if !slices.Contains(k.avoid, upstream) {
 		k.avoid = append(k.avoid, upstream)
 	}
 }
 
 // ref names the newest run.
-func (k *task) ref() fleet.RunRef { return fleet.RunRef{Task: k.id, Run: k.run} }
+func (k *task) runRef() fleet.RunRef { return fleet.RunRef{Task: k.id, Run: k.run} }
 
 // ordered names the newest run to its agent.
-func (k *task) ordered() fleet.OrderedRun { return fleet.OrderedRun{RunRef: k.ref(), ID: k.runID} }
+func (k *task) orderedRun() fleet.OrderedRun {
+	return fleet.OrderedRun{RunRef: k.runRef(), ID: k.runID}
+}
 
 // jobState is one job.
 type jobState struct {
@@ -70,19 +72,19 @@
 	late bool
 	// callers wait for the answer; there are several when the job was sent again while it was held.
 	callers   []CallerID
-	sender    string
+	requestID string
 	submitted time.Time
 	deadline  time.Time
 	// tellAt is when other entries are told next that this one holds the job.
-	tellAt    time.Time
-	objective time.Duration
+	announceAt time.Time
+	objective  time.Duration
 	// startBy is until when the job waits for room, goesBy orders those that wait: it is earlier for wide ones.
-	startBy, goesBy time.Time
+	waitUntil, placeBy time.Time
 
 	steps []stepState
 	// remaining counts the tasks that have not ended well, waiting those that can be placed, out those that an agent
 	// has or may have.
-	remaining, waiting, out int
+	remaining, waiting, outstanding int
 	// runs counts the runs that were, or may have been, started; failures those that have failed.
 	runs, failures int
 	// longest is the run time of the longest run.
@@ -96,7 +98,7 @@
 	// ending is true once the job was answered or given up, while runs of it may remain.
 	ending bool
 	// again was submitted meanwhile, under the same id.
-	again []Request
+	resubmitted []Request
 }
 
 // stepState is one step of a job.
@@ -119,19 +121,19 @@
 		}
 		for _, k := range j.steps[i].tasks {
 			if k.phase == blocked {
-				t.wait(k)
+				t.enqueue(k)
 			}
 		}
 	}
 }
 
 // wait queues a task.
-func (t *Table) wait(k *task) {
+func (t *Table) enqueue(k *task) {
 	k.phase, k.agent, k.stopping, k.moving = waiting, nil, false, false
 	j := k.job
 	step := &j.steps[k.id.Step]
 	step.waiting = append(step.waiting, k)
-	t.fresh = true
+	t.unplaced = true
 	j.waiting++
 	if j.waiting == 1 {
 		t.queue(j.route.Service).Add(j)
@@ -139,7 +141,7 @@
 }
 
 // unwait takes a task out of its queue.
-func (t *Table) unwait(k *task) {
+func (t *Table) dequeue(k *task) {
 	j := k.job
 	step := &j.steps[k.id.Step]
 	if i := slices.Index(step.waiting, k); i >= 0 {
--- a/internal/entry/dispatch/patience_test.go
+++ b/internal/entry/dispatch/patience_test.go
@@ -15,7 +15,7 @@
 )
 
 // waits returns how long a job of 200 ms, whose objective is 420 ms, waits for room until it is refused.
-func (b *bench) waits(id job.ID) time.Duration {
+func (b *harness) measureWait(id job.ID) time.Duration {
 	c, from := dispatch.CallerID(id), b.now
 	b.submit(id, c, 1, 200*time.Millisecond, time.Minute)
 	for b.answers[c].State == "" && b.now.Sub(from) < time.Second {
@@ -27,7 +27,7 @@
 }
 
 // serve lets jobs be served, each within a millisecond.
-func (b *bench) serve(first job.ID, n int) {
+func (b *harness) serve(first job.ID, n int) {
 	b.room(1, fleet.Ready, 2000, uint64(len(b.orders)))
 	for i := range n {
 		b.submit(first+job.ID(i), 0, 1, 200*time.Millisecond, time.Minute)
@@ -42,17 +42,17 @@
 // part that was lately refused, and for 25 ms where that is a tenth; and for a quarter again after a while without refusals.
 func TestPatienceUnderPressure(t *testing.T) {
 	const quarter, pressed = 105 * time.Millisecond, 25 * time.Millisecond
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	between := func(least, most time.Duration) {
 		t.Helper()
-		got := b.waits(job.ID(1_000_000 + b.now.UnixNano()))
+		got := b.measureWait(job.ID(1_000_000 + b.now.UnixNano()))
 		qt.Assert(t, got > least && got <= most, qt.IsTrue, qt.Commentf("waited %v, want %v to %v", got, least, most))
 	}
 	b.serve(1, 100)
 	between(quarter, quarter+2*time.Millisecond)
 	between(pressed+10*time.Millisecond, quarter-5*time.Millisecond) // one of 100 refused
 	for b.now.Before(time.Unix(1002, 0)) {
-		b.waits(job.ID(b.now.UnixNano()))
+		b.measureWait(job.ID(b.now.UnixNano()))
 	}
 	between(pressed, pressed+2*time.Millisecond)
 	b.pass(30 * time.Second)
@@ -62,14 +62,14 @@
 
 // TestPatienceOfKeptJobs: a kept job is not refused for want of room, and goes behind others no sooner under pressure.
 func TestPatienceOfKeptJobs(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	b.table.SetKeeper(noKeeper{})
 	b.room(1, fleet.Ready, 0, 0)
 	for i := range 20 {
-		b.waits(job.ID(100 + i))
+		b.measureWait(job.ID(100 + i))
 	}
 	b.table.Submit(b.now, dispatch.Request{
-		Job: 2, Route: queue, Kept: &dispatch.Kept{},
+		Job: 2, Route: queue, Kept: &dispatch.KeptState{},
 		Spec: &job.Spec{Text: "x", Steps: []job.Step{{Count: 1, Each: job.Resources{CPU: 1000}, Estimate: 200 * time.Millisecond}}},
 	})
 	b.pass(60 * time.Millisecond)
@@ -92,7 +92,7 @@
 		{"at the same time", 0, 2}, {"a little later", 25 * time.Millisecond, 2}, {"much later", 60 * time.Millisecond, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, 1)
+			b := newHarness(t, 1)
 			b.room(1, fleet.Ready, 0, 0)
 			b.submit(1, 1, 1, 200*time.Millisecond, time.Minute)
 			b.now = b.now.Add(test.after)
@@ -106,18 +106,18 @@
 
 // TestRefusalTellsTheRoom: who reads the log of a refused job can tell overload from room that could not be used.
 func TestRefusalTellsTheRoom(t *testing.T) {
-	b := newBench(t, 3)
+	b := newHarness(t, 3)
 	b.room(1, fleet.Ready, 900, 0)
 	b.room(2, fleet.Ready, 0, 0)
 	b.room(3, fleet.Leaving, 2000, 0)
 	b.submit(1, 1, 2, 200*time.Millisecond, time.Minute)
 	b.pass(200 * time.Millisecond)
 	qt.Assert(t, b.answers[1].Reason, qt.Equals, verdict.Overloaded)
-	qt.Assert(t, b.summaries[1].Room, qt.Equals, dispatch.RoomLeft{Wants: 1000, Tasks: 2, Ready: 2, Fits: 0})
+	qt.Assert(t, b.summaries[1].Room, qt.Equals, dispatch.RoomLeft{TaskCPU: 1000, Tasks: 2, Ready: 2, Fits: 0})
 }
 
 // Answered notes what an answer rests on.
-func (b *bench) Answered(id job.ID, _ *route.Route, _ dispatch.Answer, s dispatch.Summary) {
+func (b *harness) Answered(id job.ID, _ *route.Route, _ dispatch.Answer, s dispatch.Summary) {
 	if b.summaries == nil {
 		b.summaries = make(map[job.ID]dispatch.Summary)
 	}
--- a/internal/entry/dispatch/place.go
+++ b/internal/entry/dispatch/place.go
@@ -8,9 +8,9 @@
 	"hillreel/internal/core/ident"
 	"hillreel/internal/core/job"
 	"hillreel/internal/core/rule"
-	"hillreel/internal/entry/choice"
+	"hillreel/internal/entry/placement"
 	"hillreel/internal/entry/queue"
-	"hillreel/internal/entry/repeat"
+	"hillreel/internal/entry/retry"
 )
 
 // queue returns the queue of a service, a new one if there is none.
@@ -19,46 +19,46 @@
 	if q == nil {
 		q = queue.New[*jobState](s)
 		t.queues[s] = q
-		t.queued = append(t.queued, q)
+		t.queueList = append(t.queueList, q)
 	}
 	return q
 }
 
 // Turn is the job's place in the order in which jobs wait for room.
-func (j *jobState) Turn() queue.Turn {
-	return queue.Turn{Begun: j.begun, Late: j.late, GoesBy: j.goesBy, Priority: j.route.Priority, Job: j.id}
+func (j *jobState) Rank() queue.Rank {
+	return queue.Rank{Begun: j.begun, Late: j.late, PlaceBy: j.placeBy, Priority: j.route.Priority, Job: j.id}
 }
 
 // before orders jobs as they wait for room.
-func before(a, b *jobState) int { return queue.Compare(a.Turn(), b.Turn()) }
+func compareJobs(a, b *jobState) int { return queue.Compare(a.Rank(), b.Rank()) }
 
 // pump places what fits anywhere.
-func (t *Table) pump(now time.Time) {
-	t.fresh = false
-	t.place(now, t.order)
+func (t *Table) placeAll(now time.Time) {
+	t.unplaced = false
+	t.placeAmong(now, t.agentList)
 }
 
 // fill places what fits at one agent that has told of its room: what has found no room before can find it only there. With the
 // paces in order, news of room take 0.75 us at 70 agents and at 2,100 (BenchmarkRoom); to look at all agents and sort their paces takes
 // 11 us and 890 us.
-func (t *Table) fill(now time.Time, a *upstreamOf) {
-	if a.Accepts() {
-		t.place(now, []*upstreamOf{a})
+func (t *Table) placeAt(now time.Time, a *agentState) {
+	if a.AcceptsWork() {
+		t.placeAmong(now, []*agentState{a})
 	}
 }
 
 // place places what fits at some of the agents. What suspected tasks wait for is no room that other jobs could leave them.
-func (t *Table) place(now time.Time, among []*upstreamOf) {
-	if t.touch.listenLeft > 0 && !t.opts.Without.Off(rule.HearEnds) {
+func (t *Table) placeAmong(now time.Time, among []*agentState) {
+	if t.contact.listenRemaining > 0 && !t.opts.Without.Has(rule.HearEnds) {
 		return
 	}
-	for _, q := range t.queued {
+	for _, q := range t.queueList {
 		q.Offer(func(j *jobState) bool { return t.placeJob(now, j, among) })
 	}
 }
 
 // placeJob places as many tasks of a job as fit, and tells whether some that are not suspected still wait.
-func (t *Table) placeJob(now time.Time, j *jobState, among []*upstreamOf) (waits bool) {
+func (t *Table) placeJob(now time.Time, j *jobState, among []*agentState) (waits bool) {
 	for s := range j.steps {
 		if len(j.steps[s].waiting) > 0 && t.placeStep(now, j, s, among) {
 			waits = true
@@ -68,11 +68,11 @@
 }
 
 // placeStep places as many tasks of a step as fit, in one order for each agent, and tells whether some that are not suspected still wait.
-func (t *Table) placeStep(now time.Time, j *jobState, s int, among []*upstreamOf) (waits bool) {
-	suspects, others := t.divide(j.steps[s].waiting)
+func (t *Table) placeStep(now time.Time, j *jobState, s int, among []*agentState) (waits bool) {
+	suspects, others := t.splitSuspects(j.steps[s].waiting)
 	t.placeSuspects(now, suspects, among)
-	orders := make(map[*upstreamOf]*fleet.Order)
-	var agents []*upstreamOf
+	orders := make(map[*agentState]*fleet.Order)
+	var agents []*agentState
 	for _, k := range others {
 		a := t.choose(now, k, among)
 		if a == nil {
@@ -100,15 +100,15 @@
 }
 
 // assign notes that a task goes to an agent.
-func (t *Table) assign(now time.Time, k *task, a *upstreamOf, o *fleet.Order) {
-	t.unwait(k)
+func (t *Table) assign(now time.Time, k *task, a *agentState, o *fleet.Order) {
+	t.dequeue(k)
 	j := k.job
 	k.run++
 	k.runID = t.nextRunID()
 	k.phase, k.agent = placed, a
 	a.runs[k.id] = k
 	a.Reserve(o.Each)
-	j.out++
+	j.outstanding++
 	j.runs++
 	j.begun = true
 	if j.firstAt.IsZero() {
@@ -121,63 +121,63 @@
 
 // nextRunID returns an id that no run has had.
 func (t *Table) nextRunID() fleet.RunID {
-	if t.opts.Without.Off(rule.RunIDs) {
+	if t.opts.Without.Has(rule.RunIDs) {
 		return 0
 	}
-	t.ordered++
-	return t.ordered
+	t.lastRunID++
+	return t.lastRunID
 }
 
 // send sends an order.
-func (t *Table) send(now time.Time, a *upstreamOf, o *fleet.Order) {
-	a.Number(o)
+func (t *Table) send(now time.Time, a *agentState, o *fleet.Order) {
+	a.AssignSeq(o)
 	t.observer.Placed(o.Job, a.Name, o, now.Sub(t.jobs[o.Job].submitted))
 	t.agentsIO.Order(a.ID, *o)
 }
 
 // choose returns the agent among some for a task, or nil while nothing fits: the cheapest of a few that could take it. Where
 // a task's data lie matters more than races, so that for one that prefers a rack all are rated.
-func (t *Table) choose(now time.Time, k *task, among []*upstreamOf) *upstreamOf {
+func (t *Table) choose(now time.Time, k *task, among []*agentState) *agentState {
 	step := &k.job.spec.Steps[k.id.Step]
-	may := func(a *upstreamOf) bool {
-		return t.eligible(a, k, step) && !t.tooSlow(now, a, k) && !t.reserved(now, a, k)
+	may := func(a *agentState) bool {
+		return t.eligible(a, k, step) && !t.tooSlow(now, a, k) && !t.reservedForOthers(now, a, k)
 	}
-	cost := func(a *upstreamOf) float64 { return a.Cost(step, t.opts.Zone, t.pace, t.rng) }
+	cost := func(a *agentState) float64 { return a.Cost(step, t.opts.Zone, t.pace, t.rng) }
 	if step.Prefers != "" {
-		return choice.Cheapest(among, may, cost)
+		return placement.Cheapest(among, may, cost)
 	}
-	return choice.Drawn(t.rng, among, may, cost)
+	return placement.CheapestOfSample(t.rng, among, may, cost)
 }
 
 // lastResort is how long before a job gives up waiting an upstream is good enough on which it will be late: the time
 // of one tick.
-const lastResort = 20 * time.Millisecond
+const lastResortMargin = 20 * time.Millisecond
 
 // tooSlow tells whether a task would make its job late on a slow upstream, while the job can still wait for another.
-func (t *Table) tooSlow(now time.Time, a *upstreamOf, k *task) bool {
-	if !a.Slow(t.pace) || !now.Before(k.job.startBy.Add(-lastResort)) {
+func (t *Table) tooSlow(now time.Time, a *agentState, k *task) bool {
+	if !a.IsSlow(t.pace) || !now.Before(k.job.waitUntil.Add(-lastResortMargin)) {
 		return false
 	}
 	estimate := k.job.spec.Steps[k.id.Step].Estimate
 	end := now.Add(time.Duration(a.Room().Pace * float64(estimate)))
-	return repeat.At(end.Sub(k.job.submitted), k.job.objective) < repeat.InTime
+	return retry.Rate(end.Sub(k.job.submitted), k.job.objective) < retry.InTime
 }
 
 // eligible tells whether a task may go to an agent now.
-func (t *Table) eligible(a *upstreamOf, k *task, step *job.Step) bool {
+func (t *Table) eligible(a *agentState, k *task, step *job.Step) bool {
 	service := k.job.route.Service
-	if !a.Takes(service, step) || !t.open(a, service) {
+	if !a.CanTake(service, step) || !t.permits(a, service) {
 		return false
 	}
-	unwanted := a.Probing() && k.run > 0 || slices.Contains(k.avoid, a.Up.ID)
+	unwanted := a.Probing() && k.run > 0 || slices.Contains(k.avoid, a.Upstream.ID)
 	if unwanted && t.anyReady(service, k.avoid) {
 		return false
 	}
-	return step.MaxPerUpstream == 0 || t.onUpstream(a, k) < int(step.MaxPerUpstream)
+	return step.MaxPerUpstream == 0 || t.countTasksAt(a, k) < int(step.MaxPerUpstream)
 }
 
 // onUpstream counts the tasks of the same step that an agent has.
-func (t *Table) onUpstream(a *upstreamOf, k *task) int {
+func (t *Table) countTasksAt(a *agentState, k *task) int {
 	n := 0
 	for _, other := range k.job.steps[k.id.Step].tasks {
 		if other.agent == a && (other.phase == placed || other.phase == lost) {
--- a/internal/entry/dispatch/resent_test.go
+++ b/internal/entry/dispatch/resent_test.go
@@ -20,8 +20,8 @@
 const short = 200 * time.Millisecond
 
 // newUsual returns a Table with one upstream of two cores, to which so many callers have sent a job that was done.
-func newUsual(t *testing.T, callers int) *bench {
-	b := newBench(t, 1)
+func newWithCallers(t *testing.T, callers int) *harness {
+	b := newHarness(t, 1)
 	for i := 1; i <= callers; i++ {
 		b.submit(job.ID(1000+i), dispatch.CallerID(1000+i), 1, short, usualPatience)
 		o := b.orders[len(b.orders)-1]
@@ -50,7 +50,7 @@
 		{"its objective is longer than callers' pause", 8, time.Second, 700 * time.Millisecond, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newUsual(t, test.callers)
+			b := newWithCallers(t, test.callers)
 			b.submit(1, 1, 1, short, usualPatience)
 			seq := b.orders[0].Seq
 			b.room(1, fleet.Ready, 1000, seq)
@@ -69,7 +69,7 @@
 // TestLongJobsAreNotSentBefore: callers of a queue of long jobs wait for times that differ as the jobs do; one that waits for less than
 // others has a shorter job.
 func TestLongJobsAreNotSentBefore(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	for i := range 8 {
 		b.submit(job.ID(1000+i), dispatch.CallerID(1000+i), 1, time.Second, 5*time.Second)
 		o := b.orders[len(b.orders)-1]
@@ -96,13 +96,13 @@
 		{"no room", 0, time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newUsual(t, 8)
+			b := newWithCallers(t, 8)
 			b.room(1, fleet.Ready, test.free, 100)
 			began := b.now
 			b.submit(1, 1, 1, short, patience)
 			for len(b.orders) == 0 && len(b.answers) == 8 && b.now.Sub(began) < patience {
 				b.pass(20 * time.Millisecond)
-				b.table.Room(b.now, ident.Incarnation(1), fleet.Room{Free: job.Resources{CPU: test.free}, State: fleet.Ready, Seq: 100})
+				b.table.HandleRoom(b.now, ident.Incarnation(1), fleet.Room{Free: job.Resources{CPU: test.free}, State: fleet.Ready, Seq: 100})
 			}
 			took := b.now.Sub(began)
 			qt.Assert(t, took >= test.after && took <= test.after+40*time.Millisecond, qt.IsTrue, qt.Commentf("%v", took))
--- a/internal/entry/dispatch/submit.go
+++ b/internal/entry/dispatch/submit.go
@@ -13,7 +13,7 @@
 // Submit takes a job, or answers at once why not.
 func (t *Table) Submit(now time.Time, r Request) {
 	r.Deadline = t.deadline(now, r)
-	if !t.hold(now, r) {
+	if !t.holdBelated(now, r) {
 		t.take(now, r)
 	}
 }
@@ -21,29 +21,29 @@
 // take takes a job whose caller is taken for present, or answers at once why not.
 func (t *Table) take(now time.Time, r Request) {
 	if j := t.jobs[r.Job]; j != nil {
-		t.submitAgain(now, j, r)
+		t.resubmit(now, j, r)
 		return
 	}
 	if a, ok := t.refusal(now, r); ok {
 		t.callers.Answer(r.Caller, a)
-		t.observer.Answered(r.Job, &r.Route, a, Summary{Sender: r.Sender, Tasks: r.Spec.Tasks(), Queued: t.waitingJobs()})
+		t.observer.Answered(r.Job, &r.Route, a, Summary{RequestID: r.RequestID, Tasks: r.Spec.TaskCount(), Queued: t.waitingJobs()})
 		return
 	}
 	t.observer.Taken(&r)
-	t.begin(now, r)
-	t.pump(now)
+	t.addJob(now, r)
+	t.placeAll(now)
 }
 
 // wakeWindow is how long after a standstill a request may be one that came during it.
-const wakeWindow = 200 * time.Millisecond
+const pauseWindow = 200 * time.Millisecond
 
 // deadline is when a request's caller surely waits no longer. A request that came while the process stood still
 // may have waited all that time; its caller may be about to send it elsewhere.
 func (t *Table) deadline(now time.Time, r Request) time.Time {
-	if r.Deadline.IsZero() || t.woke.IsZero() || now.Sub(t.woke) > wakeWindow {
+	if r.Deadline.IsZero() || t.pausedUntil.IsZero() || now.Sub(t.pausedUntil) > pauseWindow {
 		return r.Deadline
 	}
-	return r.Deadline.Add(-now.Sub(t.stoodFrom))
+	return r.Deadline.Add(-now.Sub(t.pausedFrom))
 }
 
 // refusal says why a job can't be taken.
@@ -53,11 +53,11 @@
 		return refused(verdict.Leaving), true
 	case r.Spec.Unsupported != "" || !r.Spec.BestEffort && r.Kept == nil:
 		return refused(verdict.Unsupported), true
-	case r.Spec.Tasks() > t.opts.MaxTasks:
+	case r.Spec.TaskCount() > t.opts.MaxTasks:
 		return refused(verdict.TooLarge), true
 	case r.Kept == nil && t.waitingJobs() >= t.opts.MaxQueue:
 		return refused(verdict.Overloaded), true
-	case r.Kept == nil && t.nowhere(now, r.Route.Service):
+	case r.Kept == nil && t.allCordoned(now, r.Route.Service):
 		return cordonedAnswer, true
 	case !r.Deadline.IsZero() && !now.Before(r.Deadline):
 		return refused(verdict.Deadline), true
@@ -72,22 +72,22 @@
 
 // submitAgain handles a job whose id is held already. Two requests are taken for the same job when their texts and their
 // numbers of tasks are: steps and queues are not compared, and those of the first request stay in force.
-func (t *Table) submitAgain(now time.Time, j *jobState, r Request) {
-	t.observer.CameAgain(&r, j.holding(now))
+func (t *Table) resubmit(now time.Time, j *jobState, r Request) {
+	t.observer.Resubmitted(&r, j.holding(now))
 	switch {
 	case r.Kept != nil && !j.kept:
 		// The caller has sent the id first as a job that need not be kept. The kept one begins once that has ended.
-		j.again = append(j.again, r)
-		t.forget(now, j)
-	case j.spec.Text != r.Spec.Text || j.spec.Tasks() != r.Spec.Tasks():
+		j.resubmitted = append(j.resubmitted, r)
+		t.removeIfDone(now, j)
+	case j.spec.Text != r.Spec.Text || j.spec.TaskCount() != r.Spec.TaskCount():
 		t.callers.Answer(r.Caller, Answer{State: verdict.Refused, Verdict: verdict.MayHaveRun, Reason: verdict.DifferentBody})
 	case j.ending:
 		// Its old runs are being stopped; only then may it run anew.
-		j.again = append(j.again, r)
-		t.forget(now, j)
+		j.resubmitted = append(j.resubmitted, r)
+		t.removeIfDone(now, j)
 	default:
 		j.callers = append(j.callers, r.Caller)
-		j.sender = r.Sender
+		j.requestID = r.RequestID
 		if r.Deadline.After(j.deadline) {
 			j.deadline = r.Deadline
 		}
@@ -95,19 +95,19 @@
 }
 
 // begin makes a job's state and queues its first steps.
-func (t *Table) begin(now time.Time, r Request) {
-	chain := r.Spec.Chain()
+func (t *Table) addJob(now time.Time, r Request) {
+	chain := r.Spec.CriticalPath()
 	j := &jobState{
-		id: r.Job, spec: r.Spec, route: r.Route, kept: r.Kept != nil, sender: r.Sender, submitted: now, deadline: r.Deadline,
+		id: r.Job, spec: r.Spec, route: r.Route, kept: r.Kept != nil, requestID: r.RequestID, submitted: now, deadline: r.Deadline,
 		objective: r.Route.Objective(chain), steps: make([]stepState, len(r.Spec.Steps)),
 	}
 	if !j.kept {
-		j.callers, j.tellAt = []CallerID{r.Caller}, now.Add(holders.TellAfter)
+		j.callers, j.announceAt = []CallerID{r.Caller}, now.Add(holders.AnnounceAfter)
 	}
 	if !j.kept && !r.Deadline.IsZero() {
-		j.late = t.patient.SentBefore(r.Route.Name, j.objective, r.Deadline.Sub(now))
+		j.late = t.resends.Observe(r.Route.Name, j.objective, r.Deadline.Sub(now))
 	}
-	t.takeTurn(now, j, chain)
+	t.setWaitLimits(now, j, chain)
 	for i, step := range r.Spec.Steps {
 		for k := range step.Count {
 			id := job.TaskID{Job: r.Job, Step: uint32(i), Index: k}
@@ -118,24 +118,24 @@
 	}
 	t.jobs[j.id] = j
 	if r.Kept != nil {
-		j.resume(r.Kept)
-		t.resumeCrashes(now, j, r.Kept.Crashes)
+		j.restore(r.Kept)
+		t.restoreCrashes(now, j, r.Kept.Crashes)
 	}
-	if !t.endIfOver(now, j) {
+	if !t.finishIfDone(now, j) {
 		t.unblock(j)
 	}
 }
 
 // resume takes over what is known of a job's tasks.
-func (j *jobState) resume(known *Kept) {
+func (j *jobState) restore(known *KeptState) {
 	j.late = known.Late
 	for i := range j.steps {
 		step := &j.steps[i]
 		for _, k := range step.tasks {
-			k.run, k.failures, k.checkpoint = known.Runs, known.Failures[k.id], known.Checkpoints[k.id]
+			k.run, k.failures, k.checkpoint = known.LastRun, known.Failures[k.id], known.Checkpoints[k.id]
 			j.failures += k.failures
 			if known.Done[k.id] {
-				k.phase = over
+				k.phase = finished
 				step.left--
 				j.remaining--
 			}
@@ -144,12 +144,12 @@
 }
 
 // endIfOver ends a job of which nothing is left to do, or a task of which has failed too often or crashes upstreams.
-func (t *Table) endIfOver(now time.Time, j *jobState) bool {
+func (t *Table) finishIfDone(now time.Time, j *jobState) bool {
 	for _, step := range j.steps {
 		for _, k := range step.tasks {
 			switch {
-			case k.phase == over:
-			case k.failures >= j.attempts():
+			case k.phase == finished:
+			case k.failures >= j.maxAttempts():
 				t.close(now, j, Answer{State: verdict.Failed, Verdict: verdict.Ran, Reason: verdict.TaskFailed})
 				return true
 			case t.crashes.Finding(k.id) == crash.Proven:
--- a/internal/entry/dispatch/takeover.go
+++ b/internal/entry/dispatch/takeover.go
@@ -17,18 +17,18 @@
 // it up. Nobody waits for that but callers who have sent their job before.
 
 // release is a job that another entry holds and is asked to give up.
-type release struct {
+type releaseRequest struct {
 	holder ident.Incarnation
 	// began is when it was asked first, asked when it was last.
-	began, asked time.Time
+	firstAsked, lastAsked time.Time
 	// all: every linked agent was asked, since the holder may not be there any more; else a few that pass it on.
-	all bool
+	askedAll bool
 	// left are the agents that were asked and have not said that nothing of the job is left there.
-	left map[ident.Incarnation]bool
+	pending map[ident.Incarnation]bool
 }
 
 // owed is the answer that an entry waits for which takes a job over.
-type owed struct {
+type releaseReply struct {
 	agent ident.Incarnation
 	to    fleet.Takeover
 }
@@ -54,30 +54,30 @@
 var superseded = Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Superseded}
 
 // relays is how many agents pass a message on: one may be lost with it, and one may be out of the other entry's hearing.
-const relays = 3
+const relayCount = 3
 
 // relayAgents returns some agents that pass messages on to other entries. Where agents link to a part of the entries only, no few of them
 // reach every one.
 func (t *Table) relayAgents() []ident.Incarnation {
 	var linked []ident.Incarnation
-	for _, a := range t.order {
+	for _, a := range t.agentList {
 		if a.Linked {
 			linked = append(linked, a.ID)
 		}
 	}
-	if n := len(linked); n > relays && (t.opts.AgentLinks == 0 || t.entries <= t.opts.AgentLinks) {
-		t.relay++
-		first := t.relay % n
-		linked = slices.Concat(linked[first:], linked[:first])[:relays]
+	if n := len(linked); n > relayCount && (t.opts.AgentLinks == 0 || t.entries <= t.opts.AgentLinks) {
+		t.nextRelay++
+		first := t.nextRelay % n
+		linked = slices.Concat(linked[first:], linked[:first])[:relayCount]
 	}
 	return linked
 }
 
 // tellHeld tells other entries which jobs this one has held for long.
-func (t *Table) tellHeld(now time.Time) {
+func (t *Table) announceHeld(now time.Time) {
 	var held []job.ID
 	for _, j := range t.jobs {
-		if !j.kept && !now.Before(j.tellAt) {
+		if !j.kept && !now.Before(j.announceAt) {
 			held = append(held, j.id)
 		}
 	}
@@ -88,25 +88,25 @@
 	agents := t.relayAgents()
 	for _, id := range held {
 		if len(agents) > 0 {
-			t.jobs[id].tellAt = now.Add(holders.TellEvery)
+			t.jobs[id].announceAt = now.Add(holders.AnnounceInterval)
 		}
 	}
 	for _, a := range agents {
-		t.agentsIO.Holding(a, held)
+		t.agentsIO.AnnounceHeld(a, held)
 	}
 }
 
 // Holding handles that another entry has held jobs for long.
-func (t *Table) Holding(now time.Time, holder ident.Incarnation, jobs []job.ID) {
-	t.elsewhere.Told(now, holder, jobs...)
+func (t *Table) HandleHeld(now time.Time, holder ident.Incarnation, jobs []job.ID) {
+	t.holders.Record(now, holder, jobs...)
 }
 
 // heldElsewhere tells whether another entry is known to hold a job.
 func (t *Table) heldElsewhere(now time.Time, id job.ID) bool {
-	if t.opts.Without.Off(rule.ReleaseFirst) {
+	if t.opts.Without.Has(rule.ReleaseFirst) {
 		return false
 	}
-	_, known := t.elsewhere.Of(now, id)
+	_, known := t.holders.Find(now, id)
 	return known || t.releases[id] != nil
 }
 
@@ -117,76 +117,76 @@
 	}
 	r := t.releases[id]
 	if r == nil {
-		holder, _ := t.elsewhere.Of(now, id)
-		r = &release{holder: holder, began: now, left: make(map[ident.Incarnation]bool)}
+		holder, _ := t.holders.Find(now, id)
+		r = &releaseRequest{holder: holder, firstAsked: now, pending: make(map[ident.Incarnation]bool)}
 		t.releases[id] = r
-		t.observer.TakenOver(id, holder, 0, TakeoverAsked)
+		t.observer.TakeoverChanged(id, holder, 0, TakeoverAsked)
 		t.ask(now, id, r, t.relayAgents())
 	}
 	switch {
-	case now.Sub(r.began) >= t.opts.Timing.SettleAfter():
-		t.released(now, id, r, TakeoverLapsed)
+	case now.Sub(r.firstAsked) >= t.opts.Timing.SettleAfter():
+		t.endRelease(now, id, r, TakeoverLapsed)
 		return t.awaitRelease(now, id) // another may hold it too
-	case now.Sub(r.asked) >= t.opts.Timing.KeepAlive:
+	case now.Sub(r.lastAsked) >= t.opts.Timing.KeepAlive:
 		t.askAll(now, id, r)
 	}
 	return true
 }
 
 // ask asks some agents for a job that another entry holds.
-func (t *Table) ask(now time.Time, id job.ID, r *release, agents []ident.Incarnation) {
-	r.asked = now
+func (t *Table) ask(now time.Time, id job.ID, r *releaseRequest, agents []ident.Incarnation) {
+	r.lastAsked = now
 	for _, a := range agents {
-		r.left[a] = true
-		t.agentsIO.Release(a, id, r.holder)
+		r.pending[a] = true
+		t.agentsIO.RequestRelease(a, id, r.holder)
 	}
 }
 
 // askAll asks all linked agents but those that have answered.
-func (t *Table) askAll(now time.Time, id job.ID, r *release) {
+func (t *Table) askAll(now time.Time, id job.ID, r *releaseRequest) {
 	var rest []ident.Incarnation
-	for _, a := range t.order {
-		if left, asked := r.left[a.ID]; a.Linked && (left || !asked) {
+	for _, a := range t.agentList {
+		if left, asked := r.pending[a.ID]; a.Linked && (left || !asked) {
 			rest = append(rest, a.ID)
 		}
 	}
-	r.all = true
+	r.askedAll = true
 	t.ask(now, id, r, rest)
 }
 
 // Released handles that nothing of a job remains at another entry, or at an agent that the entry isn't linked to.
-func (t *Table) Released(now time.Time, agent ident.Incarnation, x fleet.Released) {
+func (t *Table) HandleReleased(now time.Time, agent ident.Incarnation, x fleet.Released) {
 	r := t.releases[x.Job]
 	if r == nil || r.holder != x.Holder {
 		return
 	}
 	if x.ByHolder {
-		t.released(now, x.Job, r, TakeoverConfirmed)
-		t.takeBelated(now)
+		t.endRelease(now, x.Job, r, TakeoverConfirmed)
+		t.submitBelated(now)
 		return
 	}
-	r.left[agent] = false
-	if !r.all {
+	r.pending[agent] = false
+	if !r.askedAll {
 		t.askAll(now, x.Job, r)
 	}
-	for _, left := range r.left {
+	for _, left := range r.pending {
 		if left {
 			return
 		}
 	}
-	t.released(now, x.Job, r, TakeoverSettled)
-	t.takeBelated(now)
+	t.endRelease(now, x.Job, r, TakeoverSettled)
+	t.submitBelated(now)
 }
 
 // released ends the wait for a job's release.
-func (t *Table) released(now time.Time, id job.ID, r *release, how TakeoverEvent) {
+func (t *Table) endRelease(now time.Time, id job.ID, r *releaseRequest, how TakeoverEvent) {
 	delete(t.releases, id)
-	t.elsewhere.Forget(id, r.holder)
-	t.observer.TakenOver(id, r.holder, now.Sub(r.began), how)
+	t.holders.Forget(id, r.holder)
+	t.observer.TakeoverChanged(id, r.holder, now.Sub(r.firstAsked), how)
 }
 
 // forgetReleases forgets the questions for jobs that nobody waits for any more.
-func (t *Table) forgetReleases() {
+func (t *Table) dropUnusedReleases() {
 	for id := range t.releases {
 		if !t.isBelated(id) {
 			delete(t.releases, id)
@@ -195,51 +195,51 @@
 }
 
 // GiveUp handles that another entry takes a job over, as an agent has passed on: its caller has gone there.
-func (t *Table) GiveUp(now time.Time, agent ident.Incarnation, to fleet.Takeover) {
-	t.elsewhere.Told(now, to.By, to.Job)
+func (t *Table) HandleTakeover(now time.Time, agent ident.Incarnation, to fleet.Takeover) {
+	t.holders.Record(now, to.NewHolder, to.Job)
 	t.answerBelated(to.Job, superseded)
 	delete(t.releases, to.Job)
 	j := t.jobs[to.Job]
 	if j == nil || j.kept {
-		t.agentsIO.Released(agent, fleet.Released{Takeover: to, ByHolder: true})
+		t.agentsIO.SendReleased(agent, fleet.Released{Takeover: to, ByHolder: true})
 		return
 	}
-	t.owe(j.id, owed{agent, to})
-	t.answerAgain(j, superseded)
+	t.addReply(j.id, releaseReply{agent, to})
+	t.answerResubmitted(j, superseded)
 	if !j.ending {
-		t.observer.TakenOver(j.id, to.By, now.Sub(j.submitted), TakeoverGiven)
+		t.observer.TakeoverChanged(j.id, to.NewHolder, now.Sub(j.submitted), TakeoverGiven)
 		t.close(now, j, superseded)
-		t.pump(now)
+		t.placeAll(now)
 	}
 }
 
 // owe notes an answer that is given once nothing of a job remains.
-func (t *Table) owe(id job.ID, o owed) {
-	if !slices.Contains(t.owed[id], o) {
-		t.owed[id] = append(t.owed[id], o)
+func (t *Table) addReply(id job.ID, o releaseReply) {
+	if !slices.Contains(t.replies[id], o) {
+		t.replies[id] = append(t.replies[id], o)
 	}
 }
 
 // payOwed answers the entries that wait for a job of which nothing remains.
-func (t *Table) payOwed(id job.ID) {
-	waiting := t.owed[id]
-	delete(t.owed, id)
+func (t *Table) sendReplies(id job.ID) {
+	waiting := t.replies[id]
+	delete(t.replies, id)
 	for _, o := range waiting {
-		t.agentsIO.Released(o.agent, fleet.Released{Takeover: o.to, ByHolder: true})
+		t.agentsIO.SendReleased(o.agent, fleet.Released{Takeover: o.to, ByHolder: true})
 	}
 }
 
 // linkedAnew asks an agent that has linked for the jobs that other entries are asked to give up. What was told before may have been lost with the
 // agents that it was told to, and is told again.
-func (t *Table) linkedAnew(now time.Time, agent ident.Incarnation) {
+func (t *Table) repeatTakeovers(now time.Time, agent ident.Incarnation) {
 	for _, j := range t.jobs {
-		if now.Sub(j.submitted) >= holders.TellAfter {
-			j.tellAt = now
+		if now.Sub(j.submitted) >= holders.AnnounceAfter {
+			j.announceAt = now
 		}
 	}
 	var ids []job.ID
 	for id, r := range t.releases {
-		if r.all {
+		if r.askedAll {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/entry/dispatch/takeover_test.go
+++ b/internal/entry/dispatch/takeover_test.go
@@ -24,14 +24,14 @@
 	steps    []dispatch.TakeoverEvent
 }
 
-func (x *takeovers) Holding(_ ident.Incarnation, jobs []job.ID) { x.held = append(x.held, jobs) }
-func (x *takeovers) Release(agent ident.Incarnation, _ job.ID, _ ident.Incarnation) {
+func (x *takeovers) AnnounceHeld(_ ident.Incarnation, jobs []job.ID) { x.held = append(x.held, jobs) }
+func (x *takeovers) RequestRelease(agent ident.Incarnation, _ job.ID, _ ident.Incarnation) {
 	x.asked = append(x.asked, agent)
 }
-func (x *takeovers) Released(_ ident.Incarnation, r fleet.Released) {
+func (x *takeovers) SendReleased(_ ident.Incarnation, r fleet.Released) {
 	x.released = append(x.released, r)
 }
-func (x *takeovers) TakenOver(_ job.ID, _ ident.Incarnation, _ time.Duration, e dispatch.TakeoverEvent) {
+func (x *takeovers) TakeoverChanged(_ job.ID, _ ident.Incarnation, _ time.Duration, e dispatch.TakeoverEvent) {
 	x.steps = append(x.steps, e)
 }
 
@@ -42,41 +42,41 @@
 	byAgent := fleet.Released{Takeover: fleet.Takeover{Job: 7, Holder: otherEntry}}
 	for _, test := range []struct {
 		name    string
-		happens func(b *bench)
+		happens func(b *harness)
 		placed  bool
 		last    dispatch.TakeoverEvent
 	}{
-		{"nobody answers yet", func(b *bench) { b.hearing(900*time.Millisecond, 1, 2) }, false, dispatch.TakeoverAsked},
-		{"nobody answers for so long that nothing can be left", func(b *bench) { b.hearing(1200*time.Millisecond, 1, 2) }, true, dispatch.TakeoverLapsed},
-		{"its holder has given it up", func(b *bench) { b.table.Released(b.now, 1, byHolder) }, true, dispatch.TakeoverConfirmed},
-		{"one of two holders has given it up", func(b *bench) {
-			b.table.Holding(b.now, thirdEntry, []job.ID{7})
-			b.table.Released(b.now, 1, byHolder)
+		{"nobody answers yet", func(b *harness) { b.hearing(900*time.Millisecond, 1, 2) }, false, dispatch.TakeoverAsked},
+		{"nobody answers for so long that nothing can be left", func(b *harness) { b.hearing(1200*time.Millisecond, 1, 2) }, true, dispatch.TakeoverLapsed},
+		{"its holder has given it up", func(b *harness) { b.table.HandleReleased(b.now, 1, byHolder) }, true, dispatch.TakeoverConfirmed},
+		{"one of two holders has given it up", func(b *harness) {
+			b.table.HandleHeld(b.now, thirdEntry, []job.ID{7})
+			b.table.HandleReleased(b.now, 1, byHolder)
 		}, false, dispatch.TakeoverAsked},
-		{"both holders have", func(b *bench) {
-			b.table.Holding(b.now, thirdEntry, []job.ID{7})
-			b.table.Released(b.now, 1, byHolder)
-			b.table.Released(b.now, 1, fleet.Released{Takeover: fleet.Takeover{Job: 7, Holder: thirdEntry}, ByHolder: true})
+		{"both holders have", func(b *harness) {
+			b.table.HandleHeld(b.now, thirdEntry, []job.ID{7})
+			b.table.HandleReleased(b.now, 1, byHolder)
+			b.table.HandleReleased(b.now, 1, fleet.Released{Takeover: fleet.Takeover{Job: 7, Holder: thirdEntry}, ByHolder: true})
 		}, true, dispatch.TakeoverConfirmed},
-		{"its holder is not linked to one agent", func(b *bench) { b.table.Released(b.now, 1, byAgent) }, false, dispatch.TakeoverAsked},
-		{"its holder is not linked to any", func(b *bench) {
-			b.table.Released(b.now, 1, byAgent)
-			b.table.Released(b.now, 2, byAgent)
+		{"its holder is not linked to one agent", func(b *harness) { b.table.HandleReleased(b.now, 1, byAgent) }, false, dispatch.TakeoverAsked},
+		{"its holder is not linked to any", func(b *harness) {
+			b.table.HandleReleased(b.now, 1, byAgent)
+			b.table.HandleReleased(b.now, 2, byAgent)
 		}, true, dispatch.TakeoverSettled},
-		{"an agent links meanwhile", func(b *bench) {
-			b.table.Released(b.now, 1, byAgent)
+		{"an agent links meanwhile", func(b *harness) {
+			b.table.HandleReleased(b.now, 1, byAgent)
 			b.link(3)
 			b.room(3, fleet.Ready, 2000, 0)
-			b.table.Released(b.now, 2, byAgent)
+			b.table.HandleReleased(b.now, 2, byAgent)
 		}, false, dispatch.TakeoverAsked},
-		{"an earlier holder has given it up", func(b *bench) {
-			b.table.Released(b.now, 1, fleet.Released{Takeover: fleet.Takeover{Job: 7, Holder: thirdEntry}, ByHolder: true})
+		{"an earlier holder has given it up", func(b *harness) {
+			b.table.HandleReleased(b.now, 1, fleet.Released{Takeover: fleet.Takeover{Job: 7, Holder: thirdEntry}, ByHolder: true})
 		}, false, dispatch.TakeoverAsked},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, 2)
+			b := newHarness(t, 2)
 			b.hearing(100*time.Millisecond, 1, 2)
-			b.table.Holding(b.now, otherEntry, []job.ID{7})
+			b.table.HandleHeld(b.now, otherEntry, []job.ID{7})
 			b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
 			b.hearing(60*time.Millisecond, 1, 2)
 			qt.Assert(t, b.asked, qt.DeepEquals, []ident.Incarnation{1, 2})
@@ -90,9 +90,9 @@
 
 // TestCallerOfHeldJobGoes: a request of a job that another entry holds is forgotten with its caller, and the other entry keeps the job.
 func TestCallerOfHeldJobGoes(t *testing.T) {
-	b := newBench(t, 2)
+	b := newHarness(t, 2)
 	b.hearing(100*time.Millisecond, 1, 2)
-	b.table.Holding(b.now, otherEntry, []job.ID{7})
+	b.table.HandleHeld(b.now, otherEntry, []job.ID{7})
 	b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
 	b.table.Abandon(b.now.Add(3*time.Millisecond), 7, 1)
 	b.hearing(2*time.Second, 1, 2)
@@ -102,9 +102,9 @@
 
 // TestHeldElsewhereTooLong: a caller that waits for less long than the release takes is told that its job may have run.
 func TestHeldElsewhereTooLong(t *testing.T) {
-	b := newBench(t, 2)
+	b := newHarness(t, 2)
 	b.hearing(100*time.Millisecond, 1, 2)
-	b.table.Holding(b.now, otherEntry, []job.ID{7})
+	b.table.HandleHeld(b.now, otherEntry, []job.ID{7})
 	b.submit(7, 1, 1, 200*time.Millisecond, 500*time.Millisecond)
 	b.hearing(600*time.Millisecond, 1, 2)
 	qt.Assert(t, b.answers[1], qt.Equals, dispatch.Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Deadline})
@@ -113,17 +113,17 @@
 
 // TestGiveUp: a job that another entry takes over is stopped, its caller is told, and the other entry hears once nothing of it remains.
 func TestGiveUp(t *testing.T) {
-	b := newBench(t, 2)
+	b := newHarness(t, 2)
 	b.hearing(100*time.Millisecond, 1, 2)
 	b.submit(7, 1, 1, 2*time.Second, 5*time.Second)
-	to := fleet.Takeover{Job: 7, Holder: 1, By: otherEntry}
-	b.table.GiveUp(b.now, 2, to)
+	to := fleet.Takeover{Job: 7, Holder: 1, NewHolder: otherEntry}
+	b.table.HandleTakeover(b.now, 2, to)
 	qt.Assert(t, b.answers[1], qt.Equals, dispatch.Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Superseded})
 	qt.Assert(t, b.stops, qt.HasLen, 1)
 	qt.Assert(t, b.released, qt.HasLen, 0)
 	b.end(b.orders[0], 0, job.Stopped, fleet.OnRequest)
 	qt.Assert(t, b.released, qt.DeepEquals, []fleet.Released{{Takeover: to, ByHolder: true}})
-	b.table.GiveUp(b.now, 1, to)
+	b.table.HandleTakeover(b.now, 1, to)
 	qt.Assert(t, b.released, qt.HasLen, 2, qt.Commentf("what is not held is answered at once"))
 
 	b.submit(7, 2, 1, 2*time.Second, 5*time.Second)
@@ -134,8 +134,8 @@
 
 // TestLongHeldJobsAreTold: other entries are told of a job once its caller may come to them soon, now and then for as long as it is held, and of
 // one that was taken over at once; of jobs that are held for less long nobody is told.
-func TestLongHeldJobsAreTold(t *testing.T) {
-	b := newBench(t, 1)
+func TestLongHeldJobsAreAnnounced(t *testing.T) {
+	b := newHarness(t, 1)
 	b.hearing(100*time.Millisecond, 1)
 	b.submit(7, 1, 1, 10*time.Second, 20*time.Second)
 	b.hearing(760*time.Millisecond, 1)
@@ -148,10 +148,10 @@
 	b.hearing(3*time.Second, 1)
 	qt.Assert(t, b.held, qt.HasLen, 2)
 
-	b.table.Holding(b.now, otherEntry, []job.ID{8})
+	b.table.HandleHeld(b.now, otherEntry, []job.ID{8})
 	b.submit(8, 2, 1, 10*time.Second, 20*time.Second)
 	b.hearing(40*time.Millisecond, 1)
-	b.table.Released(b.now, 1, fleet.Released{Takeover: fleet.Takeover{Job: 8, Holder: otherEntry}, ByHolder: true})
+	b.table.HandleReleased(b.now, 1, fleet.Released{Takeover: fleet.Takeover{Job: 8, Holder: otherEntry}, ByHolder: true})
 	b.hearing(20*time.Millisecond, 1)
 	qt.Assert(t, b.held[2:], qt.DeepEquals, [][]job.ID{{8}})
 }
