--- a/internal/entry/dispatch/touch_test.go
+++ b/internal/entry/dispatch/touch_test.go
@@ -13,11 +13,11 @@
 )
 
 // hearing lets time pass while some agents tell of their room.
-func (b *bench) hearing(d time.Duration, from ...ident.Incarnation) {
+func (b *harness) hearing(d time.Duration, from ...ident.Incarnation) {
 	for end := b.now.Add(d); b.now.Before(end); {
 		b.now = b.now.Add(20 * time.Millisecond)
 		for _, id := range from {
-			b.table.Hear(b.now)
+			b.table.RecordContact(b.now)
 			b.room(id, fleet.Ready, 2000, uint64(len(b.orders)))
 		}
 		b.table.Tick(b.now)
@@ -25,74 +25,74 @@
 }
 
 // cutOff lets time pass in which nothing comes; links are given up after 250 ms.
-func (b *bench) cutOff(d time.Duration, agents ...ident.Incarnation) {
+func (b *harness) cutOff(d time.Duration, agents ...ident.Incarnation) {
 	end := b.now.Add(d)
 	b.hearing(min(d, 250*time.Millisecond))
 	for _, id := range agents {
-		b.table.Unlinked(b.now, id)
+		b.table.HandleUnlinked(b.now, id)
 	}
 	b.hearing(max(0, end.Sub(b.now)))
 }
 
 // standStill lets time pass in which the process does nothing.
-func (b *bench) standStill(d time.Duration) {
+func (b *harness) standStill(d time.Duration) {
 	b.now = b.now.Add(d)
 	b.table.Tick(b.now)
 }
 
 // back links agents again, of which nothing is left at their upstreams.
-func (b *bench) back(agents ...ident.Incarnation) {
+func (b *harness) relink(agents ...ident.Incarnation) {
 	for _, id := range agents {
-		b.table.Hear(b.now)
+		b.table.RecordContact(b.now)
 		b.link(id)
-		b.table.Settled(b.now, id)
+		b.table.HandleSettled(b.now, id)
 		b.room(id, fleet.Ready, 2000, 0)
 	}
 }
 
 // TestCallersUnheardAreGivenUp guards against tasks that two entries run at once: a job whose caller may have gone unheard, because the entry
 // stood still or was cut off, is not placed again; one whose agent alone was lost is.
-func TestCallersUnheardAreGivenUp(t *testing.T) {
+func TestUnreachableCallersAreGivenUp(t *testing.T) {
 	all := []ident.Incarnation{1, 2}
 	for _, test := range []struct {
 		name    string
-		happens func(b *bench)
+		happens func(b *harness)
 		// placed is how often the job is placed in all.
 		placed int
 	}{
-		{"all agents are silent", func(b *bench) { b.cutOff(2*time.Second, all...); b.back(all...) }, 1},
-		{"all agents are silent for less than they keep runs", func(b *bench) {
+		{"all agents are silent", func(b *harness) { b.cutOff(2*time.Second, all...); b.relink(all...) }, 1},
+		{"all agents are silent for less than they keep runs", func(b *harness) {
 			b.cutOff(300*time.Millisecond, all...)
-			b.back(all...)
+			b.relink(all...)
 		}, 2},
-		{"the process stands still, and its caller goes meanwhile", func(b *bench) {
+		{"the process stands still, and its caller goes meanwhile", func(b *harness) {
 			b.now = b.now.Add(2 * time.Second)
 			b.table.Tick(b.now)
-			b.back(all...)
+			b.relink(all...)
 			b.table.Abandon(b.now.Add(50*time.Millisecond), 7, 1)
 		}, 1},
-		{"the process stands still, and its caller waits", func(b *bench) {
+		{"the process stands still, and its caller waits", func(b *harness) {
 			b.now = b.now.Add(2 * time.Second)
 			b.table.Tick(b.now)
-			b.back(all...)
+			b.relink(all...)
 		}, 2},
-		{"its agent is silent, others are heard", func(b *bench) {
+		{"its agent is silent, others are heard", func(b *harness) {
 			lost := b.orders[0].agent
 			other := all[0] + all[1] - lost
 			b.hearing(250*time.Millisecond, other)
-			b.table.Unlinked(b.now, lost)
+			b.table.HandleUnlinked(b.now, lost)
 			b.hearing(2*time.Second, other)
 		}, 2},
-		{"all agents are heard to end", func(b *bench) {
+		{"all agents are heard to end", func(b *harness) {
 			for _, id := range all {
-				b.table.Unlinked(b.now, id)
+				b.table.HandleUnlinked(b.now, id)
 			}
 			b.hearing(time.Second)
-			b.back(all...)
+			b.relink(all...)
 		}, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, len(all))
+			b := newHarness(t, len(all))
 			b.hearing(100*time.Millisecond, all...)
 			b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
 			qt.Assert(t, b.orders, qt.HasLen, 1)
@@ -127,12 +127,12 @@
 		{"the entry was in touch", 100 * time.Millisecond, 0, false, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, len(all))
+			b := newHarness(t, len(all))
 			b.hearing(100*time.Millisecond, all...)
 			b.cutOff(test.away, all...)
-			b.back(all...)
+			b.relink(all...)
 			b.hearing(test.after, all...)
-			b.table.Hear(b.now)
+			b.table.RecordContact(b.now)
 			b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
 			qt.Assert(t, len(b.orders) > 0, qt.Equals, test.atOnce)
 			if test.gone {
@@ -164,15 +164,15 @@
 		{"callers were heard", 400 * time.Millisecond, 0, false, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, 2)
+			b := newHarness(t, 2)
 			b.hearing(100*time.Millisecond, 1, 2)
-			b.table.HearCaller(b.now)
+			b.table.RecordCallerContact(b.now)
 			b.hearing(test.away, 1, 2)
 			for first := b.now; b.now.Before(first.Add(test.after)); {
-				b.table.HearCaller(b.now)
+				b.table.RecordCallerContact(b.now)
 				b.hearing(100*time.Millisecond, 1, 2)
 			}
-			b.table.HearCaller(b.now)
+			b.table.RecordCallerContact(b.now)
 			b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
 			qt.Assert(t, len(b.orders) > 0, qt.Equals, test.atOnce)
 			if test.gone {
@@ -192,24 +192,24 @@
 	for _, test := range []struct {
 		name string
 		// happens ends at a tick behind a short standstill; the end of the caller's connection is read behind it.
-		happens func(b *bench)
+		happens func(b *harness)
 		placed  int
 	}{
-		{"after a long one", func(b *bench) {
+		{"after a long one", func(b *harness) {
 			b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
 			b.standStill(2 * time.Second)
-			b.back(all...)
+			b.relink(all...)
 			b.standStill(350 * time.Millisecond)
 		}, 1},
-		{"while a request is held", func(b *bench) {
+		{"while a request is held", func(b *harness) {
 			b.cutOff(time.Second, all...)
-			b.back(all...)
+			b.relink(all...)
 			b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
 			b.standStill(350 * time.Millisecond)
 		}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, len(all))
+			b := newHarness(t, len(all))
 			b.hearing(100*time.Millisecond, all...)
 			test.happens(b)
 			b.table.Abandon(b.now, 7, 1)
@@ -221,39 +221,39 @@
 
 // TestPausesWithoutNews guards against tasks that two entries run at once: a request is held also after pauses without news in which no caller was
 // given up.
-func TestPausesWithoutNews(t *testing.T) {
+func TestRequestsAfterSilence(t *testing.T) {
 	all := []ident.Incarnation{1, 2}
 	for _, test := range []struct {
 		name    string
-		happens func(b *bench)
+		happens func(b *harness)
 	}{
-		{"short ones, close together", func(b *bench) {
+		{"short ones, close together", func(b *harness) {
 			for range 4 {
 				b.cutOff(380*time.Millisecond, all...)
-				b.back(all...)
+				b.relink(all...)
 				b.hearing(20*time.Millisecond, all...)
 			}
 		}},
-		{"of an entry that has heard no agent yet", func(b *bench) {
+		{"of an entry that has heard no agent yet", func(b *harness) {
 			b.table = dispatch.New(dispatch.Options{Timing: timing, Zone: "z", MaxQueue: 10, MaxTasks: 20}, b, b, b, 1)
 			b.hearing(20 * time.Millisecond)
-			b.table.Hear(b.now)
+			b.table.RecordContact(b.now)
 			b.hearing(2 * time.Second)
-			b.back(all...)
+			b.relink(all...)
 		}},
-		{"after all agents were heard to end", func(b *bench) {
+		{"after all agents were heard to end", func(b *harness) {
 			for _, id := range all {
-				b.table.Unlinked(b.now, id)
+				b.table.HandleUnlinked(b.now, id)
 			}
 			b.hearing(2 * time.Second)
-			b.back(all...)
+			b.relink(all...)
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, len(all))
+			b := newHarness(t, len(all))
 			b.hearing(100*time.Millisecond, all...)
 			test.happens(b)
-			b.table.Hear(b.now)
+			b.table.RecordContact(b.now)
 			b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
 			b.table.Abandon(b.now, 7, 1)
 			b.hearing(100*time.Millisecond, all...)
@@ -264,10 +264,10 @@
 
 // TestCancelledBelatedRequests guards against jobs that run after they were cancelled: a job whose request is held is known, and can be cancelled.
 func TestCancelledBelatedRequests(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	b.hearing(100*time.Millisecond, 1)
 	b.cutOff(time.Second, 1)
-	b.back(1)
+	b.relink(1)
 	b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
 	qt.Assert(t, b.table.Held(7), qt.IsTrue)
 	qt.Assert(t, b.table.Cancel(b.now, 7), qt.IsTrue)
@@ -279,10 +279,10 @@
 
 // TestBelatedRequestsOfALeavingEntry: a request that waits for the end of its connection is answered when its entry is about to end.
 func TestBelatedRequestsOfALeavingEntry(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	b.hearing(100*time.Millisecond, 1)
 	b.cutOff(time.Second, 1)
-	b.back(1)
+	b.relink(1)
 	b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
 	qt.Assert(t, b.table.Unanswered(), qt.Equals, 1)
 	b.table.CloseAll(b.now)
--- a/internal/entry/holders/holders.go
+++ b/internal/entry/holders/holders.go
@@ -14,11 +14,11 @@
 const (
 	// TellAfter is after how long a held job is told of: callers come to another entry 1.3 s after they have left this one at the earliest, and the
 	// message may take as long as a slow link's.
-	TellAfter = 800 * time.Millisecond
+	AnnounceAfter = 800 * time.Millisecond
 	// TellEvery is after how long it is told of again, for entries that have not heard or were not there.
-	TellEvery = 2 * time.Second
+	AnnounceInterval = 2 * time.Second
 	// remember is for how long it counts as held without being told of again: one message may be lost.
-	remember = 2*TellEvery + time.Second
+	timeToLive = 2*AnnounceInterval + time.Second
 )
 
 // holder is an entry that holds a job.
@@ -28,33 +28,33 @@
 }
 
 // Account is what other entries have told.
-type Account struct {
+type Registry struct {
 	// by has several entries for a job whose caller has gone from one to the next.
-	by map[job.ID][]holder
+	jobs map[job.ID][]holder
 	// swept is when what is over was forgotten last.
 	swept time.Time
 }
 
 // New returns an Account that knows of no job.
-func New() *Account { return &Account{by: make(map[job.ID][]holder)} }
+func New() *Registry { return &Registry{jobs: make(map[job.ID][]holder)} }
 
 // Told notes that an entry holds jobs.
-func (a *Account) Told(now time.Time, entry ident.Incarnation, jobs ...job.ID) {
+func (a *Registry) Record(now time.Time, entry ident.Incarnation, jobs ...job.ID) {
 	for _, id := range jobs {
 		a.Forget(id, entry)
-		a.by[id] = append(a.by[id], holder{entry, now.Add(remember)})
+		a.jobs[id] = append(a.jobs[id], holder{entry, now.Add(timeToLive)})
 	}
-	if now.Sub(a.swept) > remember {
+	if now.Sub(a.swept) > timeToLive {
 		a.swept = now
-		maps.DeleteFunc(a.by, func(_ job.ID, all []holder) bool {
+		maps.DeleteFunc(a.jobs, func(_ job.ID, all []holder) bool {
 			return !slices.ContainsFunc(all, func(h holder) bool { return now.Before(h.until) })
 		})
 	}
 }
 
 // Of returns an entry that holds a job, as far as it is known.
-func (a *Account) Of(now time.Time, id job.ID) (entry ident.Incarnation, known bool) {
-	for _, h := range a.by[id] {
+func (a *Registry) Find(now time.Time, id job.ID) (entry ident.Incarnation, known bool) {
+	for _, h := range a.jobs[id] {
 		if now.Before(h.until) {
 			return h.entry, true
 		}
@@ -63,11 +63,11 @@
 }
 
 // Forget forgets that an entry holds a job.
-func (a *Account) Forget(id job.ID, entry ident.Incarnation) {
-	left := slices.DeleteFunc(a.by[id], func(h holder) bool { return h.entry == entry })
+func (a *Registry) Forget(id job.ID, entry ident.Incarnation) {
+	left := slices.DeleteFunc(a.jobs[id], func(h holder) bool { return h.entry == entry })
 	if len(left) == 0 {
-		delete(a.by, id)
+		delete(a.jobs, id)
 		return
 	}
-	a.by[id] = left
+	a.jobs[id] = left
 }
--- a/internal/entry/node/close_test.go
+++ b/internal/entry/node/close_test.go
@@ -21,19 +21,19 @@
 )
 
 // mute is a store that never answers.
-type mute struct{}
+type silentStore struct{}
 
-func (mute) Commit(ctx context.Context, _ rows.Txn) (rows.Version, error) {
+func (silentStore) Commit(ctx context.Context, _ rows.Txn) (rows.Version, error) {
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
-func (mute) Read(ctx context.Context, _ rows.Key) (rows.Row, error) {
+func (silentStore) Read(ctx context.Context, _ rows.Key) (rows.Row, error) {
 	<-ctx.Done()
 	return rows.Row{}, ctx.Err()
 }
 
-func (mute) Range(ctx context.Context, _ rows.Range) (rows.Page, error) {
+func (silentStore) Range(ctx context.Context, _ rows.Range) (rows.Page, error) {
 	<-ctx.Done()
 	return rows.Page{}, ctx.Err()
 }
@@ -66,7 +66,7 @@
 				set, err := settings.Load("")
 				qt.Assert(t, err, qt.IsNil)
 				set.Node.Link, set.Links.Silence = "127.0.0.1:0", time.Minute
-				n := node.New(set, mute{}, nil, node.NewObserver(logs.Discard(), nil), logs.Discard())
+				n := node.New(set, silentStore{}, nil, node.NewObserver(logs.Discard(), nil), logs.Discard())
 				qt.Assert(t, n.Start(context.Background()), qt.IsNil)
 				defer n.Stop()
 				if before {
@@ -85,12 +85,12 @@
 }
 
 // takes is an observer that notes which jobs are taken.
-type takes struct {
+type takenObserver struct {
 	dispatch.Observer
 	jobs chan job.ID
 }
 
-func (o *takes) Taken(r *dispatch.Request) {
+func (o *takenObserver) Taken(r *dispatch.Request) {
 	o.Observer.Taken(r)
 	o.jobs <- r.Job
 }
@@ -101,8 +101,8 @@
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
 	set.Node.Link = "127.0.0.1:0"
-	o := &takes{node.NewObserver(logs.Discard(), nil), make(chan job.ID, 2)}
-	n := node.New(set, mute{}, nil, o, logs.Discard())
+	o := &takenObserver{node.NewObserver(logs.Discard(), nil), make(chan job.ID, 2)}
+	n := node.New(set, silentStore{}, nil, o, logs.Discard())
 	qt.Assert(t, n.Start(context.Background()), qt.IsNil)
 	defer n.Stop()
 	submit := func(ctx context.Context, id job.ID) {
@@ -126,7 +126,7 @@
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
 	set.Node.Link = "127.0.0.1:0"
-	n := node.New(set, mute{}, nil, node.NewObserver(logs.Discard(), nil), logs.Discard())
+	n := node.New(set, silentStore{}, nil, node.NewObserver(logs.Discard(), nil), logs.Discard())
 	qt.Assert(t, n.Start(context.Background()), qt.IsNil)
 	defer n.Stop()
 	measured := func() bool {
--- a/internal/entry/node/config.go
+++ b/internal/entry/node/config.go
@@ -15,12 +15,12 @@
 
 // holders is about how many agents of each entry, at least, shall get a new configuration to pass on: some may be cut off. An agent is linked
 // to several entries and may get it from each of them.
-const holders = 6
+const minRelayAgents = 6
 
 // relays is to how many agents this entry passes a new configuration.
-func (n *Node) relays() int {
+func (n *Node) relayCount() int {
 	shared := min(max(len(n.peers), 1), n.set.Links.Entries)
-	return (holders + shared - 1) / shared
+	return (minRelayAgents + shared - 1) / shared
 }
 
 // Decoder decodes a configuration that another process has passed on.
@@ -52,7 +52,7 @@
 
 // relay passes a configuration to a few agents; they pass it to entries that the store turns away.
 func (n *Node) relay(t *route.Table, from ident.Incarnation) {
-	left := n.relays()
+	left := n.relayCount()
 	for l := range n.links.All() {
 		if left == 0 {
 			return
@@ -67,7 +67,7 @@
 }
 
 // handleRelayed takes in a configuration that an agent has passed on.
-func (n *Node) handleRelayed(l *link, m *wire.Config) {
+func (n *Node) handleRelayedConfig(l *link, m *wire.Config) {
 	l.Config = max(l.Config, ident.ConfigVersion(m.GetVersion()))
 	t, err := n.decode(m.GetRaw())
 	if err != nil {
@@ -78,31 +78,31 @@
 }
 
 // SetEntries tells the node which entries there are, for agents that can't read the store.
-func (n *Node) SetEntries(entries []fleet.Entry) { n.loop.Post(listed{entries}) }
+func (n *Node) SetEntries(entries []fleet.Entry) { n.loop.Post(entriesListed{entries}) }
 
 // handleListed takes in which entries there are, for all agents to be told.
-func (n *Node) handleListed(entries []fleet.Entry) {
+func (n *Node) handleEntries(entries []fleet.Entry) {
 	same := func(a, b fleet.Entry) bool { return a.Address == b.Address && slices.Equal(a.Wants, b.Wants) }
 	if slices.EqualFunc(n.peers, entries, same) {
 		return
 	}
-	n.peers, n.peersNumber = entries, n.peersNumber+1
+	n.peers, n.peersVersion = entries, n.peersVersion+1
 	n.table.SetEntries(len(entries))
 	n.log.WithField("entries", len(entries)).Info("entries_listed")
 }
 
 // peersTicks is within how many ticks all agents are told of a new list of entries: if they all were at once, a thin link would hold up orders
 // behind as many copies of it.
-const peersTicks = 50
+const peersSpreadTicks = 50
 
 // tellPeers tells some of the agents that have not been told of the newest list.
-func (n *Node) tellPeers() {
-	left := 1 + n.links.Len()/peersTicks
+func (n *Node) sendPeersToSome() {
+	left := 1 + n.links.Len()/peersSpreadTicks
 	for l := range n.links.All() {
 		if left == 0 {
 			return
 		}
-		if l.Own.peersNumber != n.peersNumber {
+		if l.Own.peersVersion != n.peersVersion {
 			n.sendPeers(l)
 			left--
 		}
@@ -111,6 +111,6 @@
 
 // sendPeers tells an agent of the newest list.
 func (n *Node) sendPeers(l *link) {
-	l.Own.peersNumber = n.peersNumber
+	l.Own.peersVersion = n.peersVersion
 	l.Session.Send(codec.Peers(n.peers))
 }
--- a/internal/entry/node/kept.go
+++ b/internal/entry/node/kept.go
@@ -15,8 +15,8 @@
 	"hillreel/internal/core/metrics"
 	"hillreel/internal/core/rows"
 	"hillreel/internal/entry/dispatch"
-	"hillreel/internal/kept/book"
-	"hillreel/internal/kept/ledger"
+	"hillreel/internal/kept/jobstore"
+	"hillreel/internal/kept/owner"
 	"hillreel/internal/kept/record"
 	"hillreel/internal/link/codec"
 )
@@ -28,50 +28,50 @@
 		page rows.Page
 		err  error
 	}
-	scanned struct {
+	openJobsRead struct {
 		open   []rows.Row
 		leases rows.Page
 		err    error
 	}
-	fetched struct {
+	jobsFetched struct {
 		ids  []job.ID
 		rows []rows.Row
 		err  error
 	}
-	looked struct {
+	jobRead struct {
 		id          job.ID
 		open, ended rows.Row
 		err         error
 	}
 	// cancelledElsewhere carries jobs that other entries have cancelled.
-	cancelledElsewhere struct{ ids []job.ID }
+	jobsCancelled struct{ ids []job.ID }
 )
 
 // newBook returns the entry's book of kept jobs, and makes its ledger.
-func (n *Node) newBook(store ledger.Store) *book.Book {
+func (n *Node) newKeptJobs(store jobstore.Store) *owner.Owner {
 	k := n.set.Kept
 	layout := n.layout()
 	counters := metrics.NewCounters("kept")
-	n.reader = ledger.NewReader(store, layout, k.Keep)
-	n.ledger = ledger.New(store, func(r ledger.Result) { n.loop.Post(r) }, n.log)
-	return book.New(book.Options{
-		Node: n.set.Node.Name, Incarnation: n.inc, Layout: layout, Lease: k.Lease, Renew: k.Renew, Keep: k.Keep,
-		MaxRow: int(k.MaxRow), Settle: n.set.Links.Timing().SettleAfter(), Log: n.log,
+	n.reader = jobstore.NewReader(store, layout, k.Keep)
+	n.jobWriter = jobstore.New(store, func(r jobstore.Result) { n.loop.Post(r) }, n.log)
+	return owner.New(owner.Options{
+		Node: n.set.Node.Name, Incarnation: n.inc, Layout: layout, LeaseDuration: k.Lease, RenewInterval: k.Renew, Retention: k.Keep,
+		MaxRow: int(k.MaxRow), SettleTime: n.set.Links.Timing().SettleAfter(), Log: n.log,
 		Count: func(event string) { counters.Add(event, 1) },
 	}, (*keptStore)(n), n.table, (*keptAgents)(n), (*answerer)(n), boottime.Now())
 }
 
 // CancelRows are the parts of the table of cancellations, which Cancelled takes changes of.
-func (n *Node) CancelRows() []string { return n.layout().All() }
+func (n *Node) CancellationParts() []string { return n.layout().AllParts() }
 
 // layout is how kept jobs are spread over the parts of the store.
 func (n *Node) layout() record.Layout { return record.Layout{Parts: n.set.Kept.Parts()} }
 
 // Cancelled takes in changes of the table of cancellations; it is a follow.Change.
-func (n *Node) Cancelled(c follow.Changes) {
+func (n *Node) HandleCancellations(c follow.Changes) {
 	var ids []job.ID
 	for _, r := range c.Rows {
-		id, err := record.JobOf(r.Key)
+		id, err := record.ParseJobID(r.Key)
 		if err != nil {
 			n.log.WithField("error", err.Error()).Error("job_row_unreadable")
 			continue
@@ -81,41 +81,41 @@
 		}
 	}
 	if len(ids) > 0 {
-		n.loop.Post(cancelledElsewhere{ids})
+		n.loop.Post(jobsCancelled{ids})
 	}
 }
 
 // handleKept handles an event that concerns kept jobs.
 func (n *Node) handleKept(now time.Time, e any) {
 	switch e := e.(type) {
-	case ledger.Result:
-		n.book.Written(now, e)
+	case jobstore.Result:
+		n.keptJobs.HandleWriteResult(now, e)
 	case leasesRead:
-		n.book.LeasesRead(now, e.sent, e.page, e.err)
-	case scanned:
-		n.book.Scanned(now, e.open, e.leases, e.err)
-	case fetched:
-		n.book.Fetched(now, e.ids, e.rows, e.err)
-	case looked:
-		n.book.Looked(e.id, e.open, e.ended, e.err)
-	case cancelledElsewhere:
-		n.book.CancelledElsewhere(now, e.ids)
+		n.keptJobs.HandleLeases(now, e.sent, e.page, e.err)
+	case openJobsRead:
+		n.keptJobs.HandleScan(now, e.open, e.leases, e.err)
+	case jobsFetched:
+		n.keptJobs.HandleFetch(now, e.ids, e.rows, e.err)
+	case jobRead:
+		n.keptJobs.HandleLookUp(e.id, e.open, e.ended, e.err)
+	case jobsCancelled:
+		n.keptJobs.HandleRemoteCancellations(now, e.ids)
 	}
 }
 
 // keeps tells whether a job is one to be kept that can be.
-func (n *Node) keeps(r *dispatch.Request) bool {
-	return !r.Spec.BestEffort && r.Spec.Unsupported == "" && r.Spec.Tasks() <= n.set.Entry.MaxTasks
+func (n *Node) mustKeep(r *dispatch.Request) bool {
+	return !r.Spec.BestEffort && r.Spec.Unsupported == "" && r.Spec.TaskCount() <= n.set.Entry.MaxTasks
 }
 
 // keptStore reads and writes kept jobs' rows for the book.
 type keptStore Node
 
 // Away tells whether the store has not answered for a while.
-func (s *keptStore) Away() bool { return s.ledger.Away() }
+func (s *keptStore) Unavailable() bool { return s.jobWriter.Unavailable() }
 
 // Write begins a write.
-func (s *keptStore) Write(op ledger.Op) { s.ledger.Write(op) }
+func (s *keptStore) Write(op jobstore.Op) { s.jobWriter.Write(op) }
 
 // read makes a reading on a goroutine of its own, and posts what it brought.
 func (s *keptStore) read(what string, do func(ctx context.Context) (event any, err error)) {
@@ -134,7 +134,7 @@
 	s.read("leases", func(ctx context.Context) (any, error) {
 		page, err := s.reader.Leases(ctx)
 		if err == nil {
-			s.ledger.ReadTook(boottime.Since(sent))
+			s.jobWriter.ObserveRead(boottime.Since(sent))
 		}
 		return leasesRead{sent, page, err}, err
 	})
@@ -144,7 +144,7 @@
 func (s *keptStore) Scan() {
 	s.read("open jobs", func(ctx context.Context) (any, error) {
 		open, leases, err := s.reader.Scan(ctx)
-		return scanned{open, leases, err}, err
+		return openJobsRead{open, leases, err}, err
 	})
 }
 
@@ -152,15 +152,15 @@
 func (s *keptStore) Fetch(ids []job.ID) {
 	s.read("jobs", func(ctx context.Context) (any, error) {
 		found, err := s.reader.Fetch(ctx, ids)
-		return fetched{ids, found, err}, err
+		return jobsFetched{ids, found, err}, err
 	})
 }
 
 // Look reads the rows of one job.
-func (s *keptStore) Look(id job.ID) {
+func (s *keptStore) LookUp(id job.ID) {
 	s.read("a job", func(ctx context.Context) (any, error) {
-		open, ended, err := s.reader.Look(ctx, id)
-		return looked{id, open, ended, err}, err
+		open, ended, err := s.reader.LookUp(ctx, id)
+		return jobRead{id, open, ended, err}, err
 	})
 }
 
@@ -178,7 +178,7 @@
 }
 
 // Noted tells that ends are stored, or count for nothing.
-func (a *keptAgents) Noted(agent ident.Incarnation, runs []fleet.RunRef, void bool) {
+func (a *keptAgents) Acknowledge(agent ident.Incarnation, runs []fleet.RunRef, void bool) {
 	a.links.Send(agent, codec.Noted(runs, void))
 }
 
@@ -192,7 +192,7 @@
 
 // sweep forgets ended jobs in time, until the node stops.
 func (n *Node) sweep() {
-	parts := n.layout().All()
+	parts := n.layout().AllParts()
 	for turn := 0; ; turn++ {
 		select {
 		case <-n.ctx.Done():
@@ -200,7 +200,7 @@
 		case <-time.After(sweepEvery):
 		}
 		active := false
-		n.loop.Call(func() { active = n.book.Active(boottime.Now()) })
+		n.loop.Call(func() { active = n.keptJobs.AnyLease(boottime.Now()) })
 		if !active {
 			continue // nobody has kept jobs, and each look is a call that has a price
 		}
--- a/internal/entry/node/links.go
+++ b/internal/entry/node/links.go
@@ -71,10 +71,10 @@
 	}
 	l := n.links.Add(now, s)
 	l.Own.pinged = now
-	l.TellCordons(n.cordons.All())
-	n.greetCrashes(now, l)
+	l.TellCordons(n.cordons.Snapshots())
+	n.sendRepeatedCrashes(now, l)
 	n.linked.Store(int32(n.links.Len()))
-	n.table.Linked(now, l.Peer, ident.UpstreamName(l.Name()), ident.Zone(s.Remote.GetZone()))
+	n.table.HandleLinked(now, l.Peer, ident.UpstreamName(l.Name()), ident.Zone(s.Remote.GetZone()))
 	if len(n.peers) > 0 {
 		n.sendPeers(l)
 	}
@@ -90,15 +90,15 @@
 // unlinked handles the end of a link: its agent is out of hearing.
 func (n *Node) unlinked(now time.Time, l *link) {
 	n.linked.Store(int32(n.links.Len()))
-	n.table.Unlinked(now, l.Peer)
-	n.book.AgentLost(now, l.Peer)
+	n.table.HandleUnlinked(now, l.Peer)
+	n.keptJobs.HandleAgentLost(now, l.Peer)
 }
 
 // handleMessage handles one message of the agent.
 func (n *Node) handleMessage(now time.Time, l *link, m *wire.Msg) {
 	switch m := m.GetKind().(type) {
 	case *wire.Msg_Upstream:
-		n.table.Upstream(now, l.Peer, codec.ReadUpstream(m.Upstream))
+		n.table.HandleUpstream(now, l.Peer, codec.ReadUpstream(m.Upstream))
 	case *wire.Msg_Room:
 		r := codec.ReadRoom(m.Room)
 		first := l.Own.clock == 0
@@ -106,35 +106,35 @@
 		if first {
 			n.ping(now, l)
 		}
-		n.table.Room(now, l.Peer, r)
+		n.table.HandleRoom(now, l.Peer, r)
 	case *wire.Msg_Ended:
 		e := codec.ReadEnd(m.Ended)
-		if !n.table.Ended(now, l.Peer, e) && e.Kept {
-			n.book.StrayEnd(now, l.Peer, e)
+		if !n.table.HandleEnd(now, l.Peer, e) && e.Kept {
+			n.keptJobs.HandleStrayEnd(now, l.Peer, e)
 		}
 	case *wire.Msg_Asked:
-		n.book.Asked(now, l.Peer, m.Asked.GetNumber())
+		n.keptJobs.HandleEndsReported(now, l.Peer, m.Asked.GetNumber())
 	case *wire.Msg_Progress:
-		n.table.Progress(now, l.Peer, codec.ReadProgress(m.Progress))
+		n.table.HandleProgress(now, l.Peer, codec.ReadProgress(m.Progress))
 	case *wire.Msg_Resumed:
-		n.table.Resumed(l.Peer, codec.ReadResumed(m.Resumed))
+		n.table.HandleResumed(l.Peer, codec.ReadResumed(m.Resumed))
 	case *wire.Msg_Settled:
-		n.table.Settled(now, l.Peer)
+		n.table.HandleSettled(now, l.Peer)
 	case *wire.Msg_Cordons:
 		n.adoptCordons(now, l.HeardCordons(m.Cordons), "relay")
-		l.TellCordons(n.cordons.All()) // what it told may be out of date
+		l.TellCordons(n.cordons.Snapshots()) // what it told may be out of date
 	case *wire.Msg_Crashes:
 		crashes, refuted := codec.ReadCrashes(m.Crashes)
-		n.adoptCrashes(now, l, crashes, refuted)
+		n.mergeCrashes(now, l, crashes, refuted)
 	case *wire.Msg_Holding:
 		holder, jobs := codec.ReadHolding(m.Holding)
-		n.table.Holding(now, holder, jobs)
+		n.table.HandleHeld(now, holder, jobs)
 	case *wire.Msg_Release:
-		n.table.GiveUp(now, l.Peer, codec.ReadRelease(m.Release, 0))
+		n.table.HandleTakeover(now, l.Peer, codec.ReadRelease(m.Release, 0))
 	case *wire.Msg_Released:
-		n.table.Released(now, l.Peer, codec.ReadReleased(m.Released))
+		n.table.HandleReleased(now, l.Peer, codec.ReadReleased(m.Released))
 	case *wire.Msg_Config:
-		n.handleRelayed(l, m.Config)
+		n.handleRelayedConfig(l, m.Config)
 	default:
 		n.log.WithField("agent", l.Name()).Warn("message_unknown")
 	}
--- a/internal/entry/node/links_test.go
+++ b/internal/entry/node/links_test.go
@@ -22,13 +22,17 @@
 )
 
 // away is a store that answers nothing.
-type away struct{}
+type failingStore struct{}
 
-var errAway = errors.New("away")
+var errStoreDown = errors.New("away")
 
-func (away) Commit(context.Context, rows.Txn) (rows.Version, error) { return 0, errAway }
-func (away) Read(context.Context, rows.Key) (rows.Row, error)       { return rows.Row{}, errAway }
-func (away) Range(context.Context, rows.Range) (rows.Page, error)   { return rows.Page{}, errAway }
+func (failingStore) Commit(context.Context, rows.Txn) (rows.Version, error) { return 0, errStoreDown }
+func (failingStore) Read(context.Context, rows.Key) (rows.Row, error) {
+	return rows.Row{}, errStoreDown
+}
+func (failingStore) Range(context.Context, rows.Range) (rows.Page, error) {
+	return rows.Page{}, errStoreDown
+}
 
 // TestOldSessionReplacesNothing: connections that were held up on the way arrive together, in any order. One that an agent
 // has long closed must not take the place of its present one: what it says of earlier runs is old, and their tasks were
@@ -37,7 +41,7 @@
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
 	set.Node.Link, set.Links.Silence = "127.0.0.1:0", time.Minute
-	n := node.New(set, away{}, nil, node.NewObserver(logs.Discard(), nil), logs.Discard())
+	n := node.New(set, failingStore{}, nil, node.NewObserver(logs.Discard(), nil), logs.Discard())
 	qt.Assert(t, n.Start(context.Background()), qt.IsNil)
 	defer n.Stop()
 	link := func(number uint64, upstream string) *session.Session {
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -21,8 +21,8 @@
 	"hillreel/internal/core/route"
 	"hillreel/internal/core/settings"
 	"hillreel/internal/entry/dispatch"
-	"hillreel/internal/kept/book"
-	"hillreel/internal/kept/ledger"
+	"hillreel/internal/kept/jobstore"
+	"hillreel/internal/kept/owner"
 	"hillreel/internal/link/links"
 	"hillreel/internal/link/session"
 	"hillreel/internal/link/wire"
@@ -39,21 +39,21 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	// questions is over once no question to the store is waited for any more.
-	questions      context.Context
-	closeQuestions context.CancelFunc
-	ledger         *ledger.Ledger
-	reader         *ledger.Reader
+	storeCtx       context.Context
+	cancelStoreCtx context.CancelFunc
+	jobWriter      *jobstore.Writer
+	reader         *jobstore.Reader
 
 	// The control goroutine owns what follows.
-	table   *dispatch.Table
-	book    *book.Book
-	links   *links.Set[keepAlive]
-	callers map[dispatch.CallerID]chan dispatch.Answer
+	table    *dispatch.Table
+	keptJobs *owner.Owner
+	links    *links.Set[linkState]
+	callers  map[dispatch.CallerID]chan dispatch.Answer
 	// closing is true once everybody was given a last answer.
 	closing bool
 	// peers are all entries, peersNumber counts how often they have changed.
-	peers       []fleet.Entry
-	peersNumber int
+	peers        []fleet.Entry
+	peersVersion int
 	// cordons is what is known of the zones that operators have cordoned.
 	cordons *cordon.Set
 	pulse   links.Pulse
@@ -67,26 +67,26 @@
 }
 
 // link is the session with one agent.
-type link = links.Link[keepAlive]
+type link = links.Link[linkState]
 
 // keepAlive is what lets an agent keep this entry's runs.
-type keepAlive struct {
+type linkState struct {
 	// pinged is when the last keep-alive went out.
 	pinged time.Time
 	// clock is the newest reading of the agent's clock.
 	clock time.Duration
 	// peersNumber is of the newest list of entries that the agent was told of.
-	peersNumber int
+	peersVersion int
 }
 
 // New returns a Node that has not started.
-func New(set *settings.Settings, store ledger.Store, d Decoder, observer dispatch.Observer, log *logrus.Entry) *Node {
+func New(set *settings.Settings, store jobstore.Store, d Decoder, observer dispatch.Observer, log *logrus.Entry) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	questions, closeQuestions := context.WithCancel(ctx)
 	n := &Node{
-		ctx: ctx, cancel: cancel, questions: questions, closeQuestions: closeQuestions, set: set, log: log, inc: ident.NewIncarnation(), loop: loop.New(), decode: d,
-		links:   links.New[keepAlive]("agent", cordon.NewPeer, log),
-		pulse:   links.Pulse{Limit: set.Links.Silence / 2, Pause: set.Links.Silence / 4, Every: set.Links.Tick, Late: ticked, Log: log},
+		ctx: ctx, cancel: cancel, storeCtx: questions, cancelStoreCtx: closeQuestions, set: set, log: log, inc: ident.NewIncarnation(), loop: loop.New(), decode: d,
+		links:   links.New[linkState]("agent", cordon.NewPeer, log),
+		pulse:   links.Pulse{Limit: set.Links.Silence / 2, Pause: set.Links.Silence / 4, Every: set.Links.Tick, Late: recordTickDelay, Log: log},
 		callers: make(map[dispatch.CallerID]chan dispatch.Answer), cordons: cordon.NewSet(nil),
 		follows: func() bool { return false },
 	}
@@ -95,8 +95,8 @@
 		AgentLinks: set.Links.Entries,
 	}
 	n.table = dispatch.New(options, (*sender)(n), (*answerer)(n), observer, rand.Uint64())
-	n.book = n.newBook(store)
-	n.table.SetKeeper(n.book)
+	n.keptJobs = n.newKeptJobs(store)
+	n.table.SetKeeper(n.keptJobs)
 	return n
 }
 
@@ -129,7 +129,7 @@
 		n.ln.Close() //nolint:errcheck // it is closed only here
 	}
 	n.cancel()
-	n.ledger.Stop()
+	n.jobWriter.Stop()
 	n.loop.Call(n.links.Close)
 	n.loop.Stop()
 }
@@ -162,13 +162,13 @@
 		table *route.Table
 		from  ident.Incarnation
 	}
-	listed struct{ entries []fleet.Entry }
+	entriesListed struct{ entries []fleet.Entry }
 	// cordonsRead carries what the store says of cordons.
 	cordonsRead struct{ snapshot cordon.Snapshot }
 )
 
 // hasGone tells whether the caller has gone, while its request waited for the control goroutine.
-func (e *submitted) hasGone() bool {
+func (e *submitted) callerGone() bool {
 	select {
 	case <-e.gone:
 		return true
@@ -179,27 +179,27 @@
 
 // submit hands a job in, to the book if it is to be kept. One whose caller has gone already begins nothing: it may be with another entry by now.
 func (n *Node) submit(now time.Time, e submitted) {
-	if e.hasGone() {
-		n.log.WithFields(logrus.Fields{"job": e.request.Job, "request": e.request.Sender}).Info("request_dropped")
+	if e.callerGone() {
+		n.log.WithFields(logrus.Fields{"job": e.request.Job, "request": e.request.RequestID}).Info("request_dropped")
 		return
 	}
 	n.callers[e.request.Caller] = e.answer
 	switch {
-	case !n.keeps(&e.request):
+	case !n.mustKeep(&e.request):
 		n.table.Submit(now, e.request)
 	case n.closing:
 		// The store would answer too late; the job may have been accepted when it was sent before.
-		(*answerer)(n).Answer(e.request.Caller, dispatch.EntryLeaves)
+		(*answerer)(n).Answer(e.request.Caller, dispatch.EntryLeaving)
 	default:
-		n.book.Submit(now, e.request)
+		n.keptJobs.Submit(now, e.request)
 	}
 }
 
 // handle handles one event on the control goroutine.
 func (n *Node) handle(e loop.Event) {
 	now := n.pulse.CatchUp(n.tick)
-	if comesFromOutside(e) {
-		n.table.Hear(now)
+	if isFromNetwork(e) {
+		n.table.RecordContact(now)
 	}
 	switch e := e.(type) {
 	case linkUp:
@@ -209,16 +209,16 @@
 	case received:
 		n.links.Receive(now, e.session, e.msgs, func(l *link, m *wire.Msg) { n.handleMessage(now, l, m) })
 	case submitted:
-		n.table.HearCaller(now)
+		n.table.RecordCallerContact(now)
 		n.submit(now, e)
 	case abandoned:
 		delete(n.callers, e.caller)
-		n.book.Abandon(e.job, e.caller)
+		n.keptJobs.Abandon(e.job, e.caller)
 		n.table.Abandon(now, e.job, e.caller)
 	case configured:
 		n.handleConfigured(e.table, e.from)
-	case listed:
-		n.handleListed(e.entries)
+	case entriesListed:
+		n.handleEntries(e.entries)
 	case cordonsRead:
 		n.adoptCordons(now, e.snapshot, "store")
 	default:
@@ -227,7 +227,7 @@
 }
 
 // comesFromOutside tells whether an event shows that the entry can be reached by agents or callers. That a caller has gone may be the word of this VM alone.
-func comesFromOutside(e loop.Event) bool {
+func isFromNetwork(e loop.Event) bool {
 	switch e.(type) {
 	case linkUp, received, submitted:
 		return true
@@ -239,9 +239,9 @@
 func (n *Node) tick() {
 	now := boottime.Now()
 	n.pulse.Tick(now)
-	n.book.Tick(now)
+	n.keptJobs.Tick(now)
 	n.table.Tick(now)
-	for _, l := range n.links.DropSilent(now, n.pulse.Running, links.Limits{Quiet: n.set.Links.Quiet(), Silence: n.set.Links.Silence}) {
+	for _, l := range n.links.DropSilent(now, n.pulse.Running, links.Limits{Quiet: n.set.Links.LinkTimeout(), Silence: n.set.Links.Silence}) {
 		n.unlinked(now, l)
 	}
 	for l := range n.links.All() {
@@ -249,7 +249,7 @@
 			n.ping(now, l)
 		}
 	}
-	n.tellPeers()
+	n.sendPeersToSome()
 }
 
 // Submit hands a job in, to the book if it is to be kept, and waits for its answer, or until ctx ends: then the caller has
@@ -301,17 +301,17 @@
 }
 
 // Zones lists what this entry has in each availability zone.
-func (n *Node) Zones() (out []dispatch.ZoneWork) {
+func (n *Node) Zones() (out []dispatch.ZoneStatus) {
 	n.loop.Call(func() { out = n.table.Zones() })
 	return out
 }
 
 // Allow replaces what configuration lets upstreams serve.
-func (n *Node) Allow(f dispatch.Allowed) { n.loop.Post(func() { n.table.SetAllowed(f) }) }
+func (n *Node) SetAllowed(f dispatch.Allowed) { n.loop.Post(func() { n.table.SetAllowed(f) }) }
 
 // NotBegun counts a queue's jobs that have not begun, those of other entries as these said last.
 func (n *Node) NotBegun(r route.Name) (count int) {
-	n.loop.Call(func() { count = n.table.NotBegun(r) + n.book.NotBegun(r) })
+	n.loop.Call(func() { count = n.table.NotBegun(r) + n.keptJobs.NotBegun(r) })
 	return count
 }
 
@@ -334,26 +334,26 @@
 // CloseAll answers everybody who still waits, and whoever comes then at once: the entry is about to end. A job to be kept may
 // be stored all the same.
 func (n *Node) CloseAll() {
-	n.closeQuestions()
+	n.cancelStoreCtx()
 	n.call(func(now time.Time) {
 		n.closing = true
 		n.log.WithField("callers", len(n.callers)).Info("requests_closed")
 		n.table.CloseAll(now)
 		for c := range n.callers {
-			(*answerer)(n).Answer(c, dispatch.EntryLeaves)
+			(*answerer)(n).Answer(c, dispatch.EntryLeaving)
 		}
 	})
 }
 
 // question returns a context for a question to the store, which the entry's end bounds as well.
-func (n *Node) question(ctx context.Context) (context.Context, context.CancelFunc) {
+func (n *Node) storeContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	stop := context.AfterFunc(n.questions, cancel)
+	stop := context.AfterFunc(n.storeCtx, cancel)
 	return ctx, func() { stop(); cancel() }
 }
 
 // HandOver lets other entries take this one's kept jobs over at once.
-func (n *Node) HandOver() { n.call(n.book.Leave) }
+func (n *Node) HandOver() { n.call(n.keptJobs.ReleaseLease) }
 
 // Unanswered returns how many jobs have callers that wait.
 func (n *Node) Unanswered() (count int) {
--- a/internal/entry/node/observe.go
+++ b/internal/entry/node/observe.go
@@ -24,36 +24,36 @@
 	times    *metrics.Latencies
 	ended    func(r *route.Route, a dispatch.Answer, s dispatch.Summary)
 	// ways are those of the jobs that are not answered yet.
-	ways map[job.ID]*way
+	histories map[job.ID]*jobHistory
 }
 
 // NewObserver returns an Observer. ended is called for each answer; it may be nil.
 func NewObserver(log *logrus.Entry, ended func(*route.Route, dispatch.Answer, dispatch.Summary)) *Observer {
 	return &Observer{
 		log: log, counters: metrics.NewCounters("entry"), times: metrics.NewLatencies("job_ms"), ended: ended,
-		ways: make(map[job.ID]*way),
+		histories: make(map[job.ID]*jobHistory),
 	}
 }
 
 // ticked notes by how much a tick of an entry's control goroutine was late.
-func ticked(late time.Duration) {
+func recordTickDelay(late time.Duration) {
 	metrics.NewMargins("margins").Record("entry_tick", late, fleet.TimerMargin)
 }
 
 // way returns what is kept of a job.
-func (o *Observer) way(id job.ID) *way {
-	if o.ways[id] == nil {
-		o.ways[id] = &way{}
+func (o *Observer) history(id job.ID) *jobHistory {
+	if o.histories[id] == nil {
+		o.histories[id] = &jobHistory{}
 	}
-	return o.ways[id]
+	return o.histories[id]
 }
 
 // Taken logs a job, so that its request can be found also when this entry is lost before it answers. How long its caller still waits tells
 // the first of several requests of a job from later ones.
 func (o *Observer) Taken(r *dispatch.Request) {
 	o.counters.Add("jobs_taken", 1)
-	o.way(r.Job).sender = r.Sender
-	f := logrus.Fields{"job": r.Job, "request": r.Sender, "route": r.Route.Name, "tasks": r.Spec.Tasks()}
+	o.history(r.Job).requestID = r.RequestID
+	f := logrus.Fields{"job": r.Job, "request": r.RequestID, "route": r.Route.Name, "tasks": r.Spec.TaskCount()}
 	if !r.Deadline.IsZero() {
 		f["patience_ms"] = -boottime.Since(r.Deadline).Milliseconds()
 	}
@@ -64,13 +64,13 @@
 func (o *Observer) Placed(id job.ID, agent ident.UpstreamName, order *fleet.Order, waited time.Duration) {
 	o.counters.Add("orders", 1)
 	o.counters.Add("tasks_ordered", int64(len(order.Tasks)))
-	w := o.way(id)
-	again := w.placed(agent, order, waited)
+	w := o.history(id)
+	again := w.notePlacement(agent, order, waited)
 	if len(again) == 0 {
 		return
 	}
 	o.counters.Add("tasks_placed_again", int64(len(again)))
-	o.log.WithFields(logrus.Fields{"job": id, "request": w.sender, "agent": agent, "tasks": list(again, "; ")}).Info("task_placed_again")
+	o.log.WithFields(logrus.Fields{"job": id, "request": w.requestID, "agent": agent, "tasks": joinLimited(again, "; ")}).Info("task_placed_again")
 }
 
 // Ended counts the end of a run, and notes it in its job's way unless it went well.
@@ -82,21 +82,21 @@
 	if next == "given_up" {
 		return // its job was answered
 	}
-	w := o.way(e.Task.Job)
-	w.ended(agent, e)
-	w.add(fmt.Sprintf("%s %s %s after %dms at %s then %s", name(fleet.RunRef{Task: e.Task, Run: e.Run}), e.Outcome, e.Reason, e.Took.Milliseconds(), agent, next))
+	w := o.history(e.Task.Job)
+	w.noteEnd(agent, e)
+	w.addStep(fmt.Sprintf("%s %s %s after %dms at %s then %s", runName(fleet.RunRef{Task: e.Task, Run: e.Run}), e.Outcome, e.Reason, e.Took.Milliseconds(), agent, next))
 }
 
 // StopsAsked logs which runs of a job are to be stopped, and counts them.
-func (o *Observer) StopsAsked(s dispatch.Stops) {
-	runs := len(s.Asked) + len(s.Unheard)
-	o.counters.Add("stops_asked_"+string(s.Why), int64(runs))
-	f := logrus.Fields{"job": s.Job, "request": s.Sender, "why": s.Why, "runs": runs}
-	if len(s.Asked) > 0 {
-		f["asked"] = runsAt(s.Asked)
+func (o *Observer) StopsRequested(s dispatch.Stops) {
+	runs := len(s.Requested) + len(s.Unreachable)
+	o.counters.Add("stops_asked_"+string(s.Cause), int64(runs))
+	f := logrus.Fields{"job": s.Job, "request": s.RequestID, "why": s.Cause, "runs": runs}
+	if len(s.Requested) > 0 {
+		f["asked"] = formatRuns(s.Requested)
 	}
-	if len(s.Unheard) > 0 {
-		f["unheard"] = runsAt(s.Unheard)
+	if len(s.Unreachable) > 0 {
+		f["unheard"] = formatRuns(s.Unreachable)
 	}
 	o.log.WithFields(f).Info("run_stop_asked")
 }
@@ -111,22 +111,22 @@
 func (o *Observer) Belated(*dispatch.Request) { o.counters.Add("requests_belated", 1) }
 
 // TakenOver logs and counts the steps of a takeover of a job by another entry, or from one.
-func (o *Observer) TakenOver(id job.ID, other ident.Incarnation, waited time.Duration, event dispatch.TakeoverEvent) {
+func (o *Observer) TakeoverChanged(id job.ID, other ident.Incarnation, waited time.Duration, event dispatch.TakeoverEvent) {
 	o.counters.Add("takeovers_"+string(event), 1)
 	o.log.WithFields(logrus.Fields{"job": id, "other_entry": other, "waited_ms": waited.Milliseconds(), "step": event}).Info("job_takeover")
 }
 
 // CameAgain logs a request of a job that is held, and counts those whose job still had runs.
-func (o *Observer) CameAgain(r *dispatch.Request, h dispatch.Holding) {
+func (o *Observer) Resubmitted(r *dispatch.Request, h dispatch.HeldJob) {
 	o.counters.Add("callers_came_again", 1)
 	if h.Runs > 0 {
 		o.counters.Add("callers_came_again_with_runs", 1)
 	}
-	if w := o.ways[r.Job]; w != nil {
-		w.cameAgain = true
+	if w := o.histories[r.Job]; w != nil {
+		w.resent = true
 	}
 	o.log.WithFields(logrus.Fields{
-		"job": r.Job, "request": r.Sender, "former_request": h.Former, "held_ms": h.Since.Milliseconds(), "runs": h.Runs, "callers": h.Callers,
+		"job": r.Job, "request": r.RequestID, "former_request": h.FormerRequestID, "held_ms": h.Since.Milliseconds(), "runs": h.Runs, "callers": h.Callers,
 		"ending": h.Ending,
 	}).Info("caller_came_again")
 }
@@ -145,10 +145,10 @@
 		o.ended(r, a, s)
 	}
 	f := logrus.Fields{
-		"job": id, "request": s.Sender, "route": r.Name, "state": a.State, "took_ms": s.Took.Milliseconds(), "waited_ms": s.Waited.Milliseconds(),
+		"job": id, "request": s.RequestID, "route": r.Name, "state": a.State, "took_ms": s.Took.Milliseconds(), "waited_ms": s.Waited.Milliseconds(),
 		"objective_ms": s.Objective.Milliseconds(), "tasks": s.Tasks, "runs": s.Runs, "failures": s.Failures, "queued": s.Queued,
 	}
-	if s.SentBefore {
+	if s.Resent {
 		o.counters.Add("jobs_sent_before", 1)
 		f["sent_before"] = true
 	}
@@ -156,19 +156,19 @@
 		f["reason"], f["verdict"] = a.Reason, a.Verdict
 	}
 	if a.Verdict == verdict.NotRun {
-		f["tasks_waiting"], f["task_cpu_millis"], f["upstreams_ready"], f["tasks_fit"] = s.Room.Tasks, s.Room.Wants, s.Room.Ready, s.Room.Fits
+		f["tasks_waiting"], f["task_cpu_millis"], f["upstreams_ready"], f["tasks_fit"] = s.Room.Tasks, s.Room.TaskCPU, s.Room.Ready, s.Room.Fits
 	}
 	if s.Room.Closed > 0 {
 		o.counters.Add("jobs_refused_while_closed", 1)
 		f["upstreams_closed"] = s.Room.Closed
 	}
-	w := o.way(id)
-	if a.State != verdict.Complete || !inTime || s.SentBefore || w.cameAgain {
-		f["way"] = w.text()
+	w := o.history(id)
+	if a.State != verdict.Complete || !inTime || s.Resent || w.resent {
+		f["way"] = w.summary()
 	} else {
-		f["agents"] = list(w.agents, " ")
+		f["agents"] = joinLimited(w.agents, " ")
 	}
-	delete(o.ways, id)
+	delete(o.histories, id)
 	o.log.WithFields(f).Info("job_answered")
 }
 
--- a/internal/entry/node/observe_test.go
+++ b/internal/entry/node/observe_test.go
@@ -29,7 +29,7 @@
 
 // taken takes the job that the tests observe.
 func taken(o *node.Observer) {
-	o.Taken(&dispatch.Request{Job: 7, Sender: "r-1", Spec: &job.Spec{Steps: []job.Step{{Count: 2}}}})
+	o.Taken(&dispatch.Request{Job: 7, RequestID: "r-1", Spec: &job.Spec{Steps: []job.Step{{Count: 2}}}})
 }
 
 // place orders runs of a number for the job's tasks.
@@ -53,7 +53,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			lines := observed(func(o *node.Observer) {
-				o.Taken(&dispatch.Request{Job: 7, Sender: "r-1", Deadline: test.deadline, Spec: &job.Spec{}})
+				o.Taken(&dispatch.Request{Job: 7, RequestID: "r-1", Deadline: test.deadline, Spec: &job.Spec{}})
 			})
 			qt.Assert(t, lines, qt.HasLen, 1)
 			qt.Assert(t, lines[0], qt.Contains, "msg=job_taken")
@@ -137,14 +137,14 @@
 		stops dispatch.Stops
 		has   []string
 	}{
-		{"asked", dispatch.Stops{Job: 7, Sender: "r-1", Why: "caller_gone", Asked: runs(2)}, []string{
+		{"asked", dispatch.Stops{Job: 7, RequestID: "r-1", Cause: "caller_gone", Requested: runs(2)}, []string{
 			"msg=run_stop_asked", "request=r-1", "why=caller_gone", "runs=2", `asked="0.0 run 1 at here; 0.1 run 1 at here"`,
 		}},
-		{"unheard", dispatch.Stops{Job: 7, Why: "deadline", Unheard: runs(1)}, []string{`unheard="0.0 run 1 at here"`}},
-		{"many", dispatch.Stops{Job: 7, Why: "deadline", Asked: runs(1000)}, []string{"runs=1000", "0.23 run 1 at here; 976 more"}},
+		{"unheard", dispatch.Stops{Job: 7, Cause: "deadline", Unreachable: runs(1)}, []string{`unheard="0.0 run 1 at here"`}},
+		{"many", dispatch.Stops{Job: 7, Cause: "deadline", Requested: runs(1000)}, []string{"runs=1000", "0.23 run 1 at here; 976 more"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			lines := observed(func(o *node.Observer) { o.StopsAsked(test.stops) })
+			lines := observed(func(o *node.Observer) { o.StopsRequested(test.stops) })
 			qt.Assert(t, lines, qt.HasLen, 1)
 			for _, part := range test.has {
 				qt.Assert(t, lines[0], qt.Contains, part)
@@ -165,7 +165,7 @@
 	}{
 		{"new, in time", false, dispatch.Summary{}, false},
 		{"new, late", false, dispatch.Summary{Took: time.Second}, true},
-		{"sent before", false, dispatch.Summary{SentBefore: true}, true},
+		{"sent before", false, dispatch.Summary{Resent: true}, true},
 		{"its caller came again", true, dispatch.Summary{}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -173,7 +173,7 @@
 				taken(o)
 				place(o, 1, 2)
 				if test.again {
-					o.CameAgain(&dispatch.Request{Job: 7, Sender: "r-2"}, dispatch.Holding{Former: "r-1", Runs: 2, Callers: 1})
+					o.Resubmitted(&dispatch.Request{Job: 7, RequestID: "r-2"}, dispatch.HeldJob{FormerRequestID: "r-1", Runs: 2, Callers: 1})
 				}
 				o.Answered(7, &route.Route{}, dispatch.Answer{State: verdict.Complete}, test.summary)
 			})
--- a/internal/entry/node/takeover.go
+++ b/internal/entry/node/takeover.go
@@ -8,16 +8,16 @@
 )
 
 // Holding tells an agent, for its other entries, which jobs this entry has held for long.
-func (s *sender) Holding(agent ident.Incarnation, jobs []job.ID) {
+func (s *sender) AnnounceHeld(agent ident.Incarnation, jobs []job.ID) {
 	s.links.Send(agent, codec.Holding(0, jobs))
 }
 
 // Release asks, through an agent, for a job that another entry holds.
-func (s *sender) Release(agent ident.Incarnation, id job.ID, holder ident.Incarnation) {
+func (s *sender) RequestRelease(agent ident.Incarnation, id job.ID, holder ident.Incarnation) {
 	s.links.Send(agent, codec.Release(fleet.Takeover{Job: id, Holder: holder}))
 }
 
 // Released tells, through an agent, the entry that takes a job over that nothing of it remains.
-func (s *sender) Released(agent ident.Incarnation, r fleet.Released) {
+func (s *sender) SendReleased(agent ident.Incarnation, r fleet.Released) {
 	s.links.Send(agent, codec.Released(r))
 }
--- a/internal/entry/node/way.go
+++ b/internal/entry/node/way.go
@@ -16,21 +16,21 @@
 	// maxSteps bounds the steps that are kept of one job's way; the end of a long way says the least.
 	maxSteps = 24
 	// maxNamed bounds the runs that are named in one line or step.
-	maxNamed = 24
+	maxListed = 24
 )
 
 // way is what is kept of a job until it is answered.
-type way struct {
+type jobHistory struct {
 	// sender is its first caller's own id of the request.
-	sender string
+	requestID string
 	// steps are in the words of the log.
 	steps []string
 	// agents are those that were sent orders, each once.
 	agents []string
 	// former are the ends of runs whose tasks were, or are to be, placed again.
-	former map[job.TaskID]formerRun
+	formerRuns map[job.TaskID]formerRun
 	// cameAgain: its caller came again while it was held.
-	cameAgain bool
+	resent bool
 }
 
 // formerRun is a task's run before the next one.
@@ -43,7 +43,7 @@
 
 // mayHaveBegun tells whether more than an agent's own refusal is known of a run: that one has begun nothing, and is common where entries
 // race for room.
-func (r *formerRun) mayHaveBegun() bool {
+func (r *formerRun) mayHaveStarted() bool {
 	switch {
 	case r.run == 0:
 		return false // there was none
@@ -58,64 +58,64 @@
 }
 
 // add adds a step, unless there are many.
-func (w *way) add(step string) {
+func (w *jobHistory) addStep(step string) {
 	if len(w.steps) < maxSteps {
 		w.steps = append(w.steps, step)
 	}
 }
 
 // text is the way in the words of the log.
-func (w *way) text() string { return strings.Join(w.steps, "; ") }
+func (w *jobHistory) summary() string { return strings.Join(w.steps, "; ") }
 
 // ended notes a run whose task may be placed again. One that may have begun is remembered until another may have.
-func (w *way) ended(agent ident.UpstreamName, e fleet.End) {
-	if w.former == nil {
-		w.former = make(map[job.TaskID]formerRun)
+func (w *jobHistory) noteEnd(agent ident.UpstreamName, e fleet.End) {
+	if w.formerRuns == nil {
+		w.formerRuns = make(map[job.TaskID]formerRun)
 	}
-	now, before := formerRun{e.Run, e.Outcome, e.Reason, agent}, w.former[e.Task]
-	if now.mayHaveBegun() || !before.mayHaveBegun() {
-		w.former[e.Task] = now
+	now, before := formerRun{e.Run, e.Outcome, e.Reason, agent}, w.formerRuns[e.Task]
+	if now.mayHaveStarted() || !before.mayHaveStarted() {
+		w.formerRuns[e.Task] = now
 	}
 }
 
 // placed notes an order, and returns those of its tasks that are placed again with what became of their former runs. Tasks whose former
 // runs have surely not begun are left out.
-func (w *way) placed(agent ident.UpstreamName, o *fleet.Order, waited time.Duration) (again []string) {
+func (w *jobHistory) notePlacement(agent ident.UpstreamName, o *fleet.Order, waited time.Duration) (again []string) {
 	if !slices.Contains(w.agents, string(agent)) {
 		w.agents = append(w.agents, string(agent))
 	}
 	var tasks []string
 	for i, t := range o.Tasks {
 		id := o.Task(i)
-		tasks = append(tasks, name(fleet.RunRef{Task: id, Run: t.Run}))
-		if former := w.former[id]; former.mayHaveBegun() {
+		tasks = append(tasks, runName(fleet.RunRef{Task: id, Run: t.Run}))
+		if former := w.formerRuns[id]; former.mayHaveStarted() {
 			again = append(again, fmt.Sprintf("%s after run %d %s %s at %s", tasks[i], former.run, former.outcome, former.reason, former.agent))
 		}
 	}
 	if len(w.steps) < maxSteps {
-		w.add(fmt.Sprintf("+%dms place %d at %s: %s", waited.Milliseconds(), len(tasks), agent, list(tasks, ", ")))
+		w.addStep(fmt.Sprintf("+%dms place %d at %s: %s", waited.Milliseconds(), len(tasks), agent, joinLimited(tasks, ", ")))
 	}
 	return again
 }
 
 // name names a run within its job.
-func name(r fleet.RunRef) string {
+func runName(r fleet.RunRef) string {
 	return fmt.Sprintf("%d.%d run %d", r.Task.Step, r.Task.Index, r.Run)
 }
 
 // runsAt names runs within their job, each with its agent.
-func runsAt(runs []dispatch.RunAt) string {
+func formatRuns(runs []dispatch.RunAt) string {
 	var out []string
 	for _, r := range runs {
-		out = append(out, name(r.RunRef)+" at "+string(r.Agent))
+		out = append(out, runName(r.RunRef)+" at "+string(r.Agent))
 	}
-	return list(out, "; ")
+	return joinLimited(out, "; ")
 }
 
 // list joins items; of many it has the first ones, and how many there are besides.
-func list(items []string, between string) string {
-	if more := len(items) - maxNamed; more > 0 {
-		items = append(items[:maxNamed:maxNamed], fmt.Sprintf("%d more", more))
+func joinLimited(items []string, between string) string {
+	if more := len(items) - maxListed; more > 0 {
+		items = append(items[:maxListed:maxListed], fmt.Sprintf("%d more", more))
 	}
 	return strings.Join(items, between)
 }
--- a/internal/entry/operator/change.go
+++ b/internal/entry/operator/change.go
@@ -52,17 +52,17 @@
 }
 
 // content makes an object's new spec of a request's body and the present object; nil deletes.
-type content func(body json.RawMessage, present object.Object) (json.RawMessage, error)
+type specFunc func(body json.RawMessage, present object.Object) (json.RawMessage, error)
 
 // change does one conditional change.
-func (s *Server) change(w http.ResponseWriter, r *http.Request, newSpec content) {
+func (s *Server) change(w http.ResponseWriter, r *http.Request, newSpec specFunc) {
 	c := store.Change{ID: r.Header.Get(HeaderChange), Who: ops.PrincipalOf(r.Context()).Name, Ref: refOf(r)}
 	if c.ID == "" {
 		c.ID = uuid.NewString()
 	}
 	version, err := precondition(r)
 	if err != nil {
-		refuse(w, http.StatusPreconditionRequired, Refusal{
+		writeRefusal(w, http.StatusPreconditionRequired, Refusal{
 			Verdict: verdict.NotRun, Reason: verdict.BadRequest, Field: "If-Match", Message: err.Error(),
 		})
 		return
@@ -70,16 +70,16 @@
 	c.If = version
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSpec))
 	if err != nil {
-		s.refuseError(w, &object.FieldError{Field: "spec", Reason: err.Error()}, c.ID)
+		s.writeError(w, &object.FieldError{Field: "spec", Reason: err.Error()}, c.ID)
 		return
 	}
-	present, _ := s.objects.View().Get(c.Ref)
+	present, _ := s.objects.View().Find(c.Ref)
 	if c.Spec, err = newSpec(body, present); err != nil {
-		s.refuseError(w, err, c.ID)
+		s.writeError(w, err, c.ID)
 		return
 	}
-	if err := s.check(r, c); err != nil {
-		s.refuseError(w, err, c.ID)
+	if err := s.authorizeAndValidate(r, c); err != nil {
+		s.writeError(w, err, c.ID)
 		return
 	}
 	if r.URL.Query().Get("dry_run") != "" {
@@ -96,7 +96,7 @@
 	if err != nil {
 		fields["error"] = err.Error()
 		s.log.WithFields(fields).Warn("config_change_refused")
-		s.refuseError(w, err, c.ID)
+		s.writeError(w, err, c.ID)
 		return
 	}
 	fields["version"] = audit.Version
@@ -106,10 +106,10 @@
 }
 
 // forbidden says that a principal lacks the right to a change.
-type forbidden struct{ message string }
+type forbiddenError struct{ message string }
 
 // Error says why.
-func (f *forbidden) Error() string { return f.message }
+func (f *forbiddenError) Error() string { return f.message }
 
 // precondition reads the version that the operator saw: If-Match with an ETag, or If-None-Match: * to create.
 func precondition(r *http.Request) (uint64, error) {
@@ -124,9 +124,9 @@
 }
 
 // check refuses what the principal may not do, and specs that can't be meant.
-func (s *Server) check(r *http.Request, c store.Change) error {
+func (s *Server) authorizeAndValidate(r *http.Request, c store.Change) error {
 	if role := ops.PrincipalOf(r.Context()).Role; role != ops.RoleAll {
-		return &forbidden{"the role " + string(role) + " changes nothing"}
+		return &forbiddenError{"the role " + string(role) + " changes nothing"}
 	}
 	if c.Spec == nil {
 		return nil
@@ -170,7 +170,7 @@
 }
 
 // sorted returns names in order.
-func sorted(names []string) []string {
+func sortNames(names []string) []string {
 	slices.Sort(names)
 	return names
 }
--- a/internal/entry/operator/dryrun.go
+++ b/internal/entry/operator/dryrun.go
@@ -9,7 +9,7 @@
 )
 
 // Moves says what a change would do to one service.
-type Moves struct {
+type ServiceImpact struct {
 	Service ident.Service `json:"service"`
 	// Gained and Lost name the linked upstreams that would begin or cease to serve it.
 	Gained []string `json:"gained,omitempty"`
@@ -25,7 +25,7 @@
 
 // DryRun says what a change would move; nothing was changed.
 type DryRun struct {
-	Moves []Moves `json:"moves"`
+	Impacts []ServiceImpact `json:"moves"`
 	// Matches names the upstreams that the object selects, if it has a selector over upstreams.
 	Matches []string `json:"matches,omitempty"`
 	DryRun  bool     `json:"dry_run"`
@@ -45,39 +45,39 @@
 		next = append(next, object.Object{Ref: c.Ref, Version: uint64(version), Spec: c.Spec})
 	}
 	after := view.New(version, next)
-	out := DryRun{DryRun: true, Moves: s.moves(before, after)}
+	out := DryRun{DryRun: true, Impacts: s.impacts(before, after)}
 	if c.Ref.Kind == object.KindPool && c.Spec != nil {
-		out.Matches = s.matches(c, after)
+		out.Matches = s.matchingUpstreams(c, after)
 	}
 	return out
 }
 
 // moves lists, for each service, the linked upstreams that one view lets serve it and the other does not.
-func (s *Server) moves(before, after *view.View) []Moves {
-	byService := make(map[ident.Service]*Moves)
+func (s *Server) impacts(before, after *view.View) []ServiceImpact {
+	byService := make(map[ident.Service]*ServiceImpact)
 	var services []string
 	for _, u := range s.upstreams.Upstreams() {
 		m := byService[u.Service]
 		if m == nil {
-			m = &Moves{Service: u.Service}
+			m = &ServiceImpact{Service: u.Service}
 			byService[u.Service] = m
 			services = append(services, string(u.Service))
 		}
 		m.count(u, before.Serves(u.Name, u.Zone, u.Service), after.Serves(u.Name, u.Zone, u.Service))
 	}
-	var out []Moves
-	for _, service := range sorted(services) {
+	var out []ServiceImpact
+	for _, service := range sortNames(services) {
 		m := byService[ident.Service(service)]
 		m.Nowhere = m.Left == 0
-		sorted(m.Gained)
-		sorted(m.Lost)
+		sortNames(m.Gained)
+		sortNames(m.Lost)
 		out = append(out, *m)
 	}
 	return out
 }
 
 // count takes in one upstream: whether it serves now, and whether it would.
-func (m *Moves) count(u dispatch.Upstream, serves, would bool) {
+func (m *ServiceImpact) count(u dispatch.Upstream, serves, would bool) {
 	switch {
 	case would && !serves:
 		m.Gained = append(m.Gained, string(u.Name))
@@ -94,8 +94,8 @@
 }
 
 // matches names the linked upstreams that a pool would have.
-func (s *Server) matches(c store.Change, after *view.View) []string {
-	p, err := object.As[object.Pool](object.Object{Ref: c.Ref, Spec: c.Spec})
+func (s *Server) matchingUpstreams(c store.Change, after *view.View) []string {
+	p, err := object.DecodeSpec[object.Pool](object.Object{Ref: c.Ref, Spec: c.Spec})
 	if err != nil {
 		return nil
 	}
@@ -105,5 +105,5 @@
 			out = append(out, string(u.Name))
 		}
 	}
-	return sorted(out)
+	return sortNames(out)
 }
--- a/internal/entry/operator/operator.go
+++ b/internal/entry/operator/operator.go
@@ -32,23 +32,23 @@
 // Upstreams lists the upstreams whose agents are linked, and what the entry has in each availability zone.
 type Upstreams interface {
 	Upstreams() []dispatch.Upstream
-	Zones() []dispatch.ZoneWork
+	Zones() []dispatch.ZoneStatus
 }
 
 // Burn reports how fast services burn their error budgets.
-type Burn interface{ Report() []burn.Service }
+type BurnReporter interface{ Report() []burn.Service }
 
 // Server serves the API.
 type Server struct {
 	store     Store
 	objects   Objects
 	upstreams Upstreams
-	burn      Burn
+	burn      BurnReporter
 	log       *logrus.Entry
 }
 
 // New returns a Server.
-func New(s Store, o Objects, u Upstreams, b Burn, log *logrus.Entry) *Server {
+func New(s Store, o Objects, u Upstreams, b BurnReporter, log *logrus.Entry) *Server {
 	return &Server{s, o, u, b, log}
 }
 
@@ -100,9 +100,9 @@
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	o, ok := s.objects.View().Get(refOf(r))
+	o, ok := s.objects.View().Find(refOf(r))
 	if !ok {
-		refuse(w, http.StatusNotFound, Refusal{
+		writeRefusal(w, http.StatusNotFound, Refusal{
 			Verdict: verdict.NotRun, Reason: verdict.NotFound, Field: "name", Message: "there is no " + refOf(r).String(),
 		})
 		return
@@ -112,7 +112,7 @@
 }
 
 // Trail is the audit trail, oldest first.
-type Trail struct {
+type AuditTrail struct {
 	Changes []store.Audit `json:"changes"`
 }
 
@@ -120,19 +120,19 @@
 	q := r.URL.Query()
 	changes, err := s.store.History(r.Context(), object.Ref{Kind: object.Kind(q.Get("kind")), Name: object.Name(q.Get("name"))})
 	if err != nil {
-		s.refuseError(w, err, "")
+		s.writeError(w, err, "")
 		return
 	}
 	if changes == nil {
 		changes = []store.Audit{}
 	}
-	write(w, http.StatusOK, Trail{changes})
+	write(w, http.StatusOK, AuditTrail{changes})
 }
 
 // refuseError maps an error to a status and a body.
-func (s *Server) refuseError(w http.ResponseWriter, err error, changeID string) {
+func (s *Server) writeError(w http.ResponseWriter, err error, changeID string) {
 	var field *object.FieldError
-	var denied *forbidden
+	var denied *forbiddenError
 	var conflict *store.Conflict
 	out := Refusal{Verdict: verdict.Of(err), Message: err.Error(), ChangeID: changeID}
 	status := http.StatusServiceUnavailable
@@ -146,17 +146,17 @@
 		out.Verdict, out.Reason = verdict.NotRun, verdict.Unauthorized
 	case errors.As(err, &conflict):
 		status = http.StatusConflict
-		out.Verdict, out.Reason, out.Present = verdict.NotRun, verdict.Conflict, &conflict.Present
+		out.Verdict, out.Reason, out.Present = verdict.NotRun, verdict.Conflict, &conflict.Current
 	case errors.As(err, &ve):
 		out.Reason = ve.Reason
 		if ve.Reason == verdict.BadRequest {
 			status, out.Field = http.StatusBadRequest, "change_id"
 		}
 	}
-	refuse(w, status, out)
+	writeRefusal(w, status, out)
 }
 
-func refuse(w http.ResponseWriter, status int, r Refusal) { write(w, status, r) }
+func writeRefusal(w http.ResponseWriter, status int, r Refusal) { write(w, status, r) }
 
 func write(w http.ResponseWriter, status int, v any) {
 	web.WriteJSON(w, status, v) //nolint:errcheck // the operator has gone
--- a/internal/entry/choice/choice.go
+++ b/internal/entry/placement/choice.go
@@ -1,13 +1,13 @@
 // Package choice decides to which of the upstreams that could take a task it goes.
 //
 // It takes the candidates, whether one may be taken, and what one costs, and never takes one that may not be.
-package choice
+package placement
 
 import "math/rand/v2"
 
 // draws is how many upstreams that could take a task are rated for it, from a place in their order that is drawn. Entries that rate all of
 // them find the same one the cheapest and race for its room. It also ends the look at all upstreams, once three have room.
-const draws = 3
+const sampleSize = 3
 
 // fewUpstreams is up to how many upstreams all are rated: of few, the emptiest is seldom among those that are drawn.
 const fewUpstreams = 24
@@ -18,11 +18,11 @@
 }
 
 // Drawn is like Cheapest, but of many it rates a few, which it draws.
-func Drawn[A comparable](rng *rand.Rand, among []A, may func(A) bool, cost func(A) float64) A {
+func CheapestOfSample[A comparable](rng *rand.Rand, among []A, may func(A) bool, cost func(A) float64) A {
 	if len(among) <= fewUpstreams {
 		return Cheapest(among, may, cost)
 	}
-	return cheapest(among, rng.IntN(len(among)), draws, may, cost)
+	return cheapest(among, rng.IntN(len(among)), sampleSize, may, cost)
 }
 
 // cheapest rates some, from a place on.
--- a/internal/entry/choice/choice_test.go
+++ b/internal/entry/placement/choice_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package placement_test
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"hillreel/internal/entry/choice"
+	"hillreel/internal/entry/placement"
 )
 
 // upTo lists the numbers from 1 to n.
@@ -32,25 +32,25 @@
 		{"of those that may", upTo(9), func(a int) bool { return a != 5 }, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			qt.Assert(t, choice.Cheapest(c.among, c.may, cost), qt.Equals, c.want)
-			qt.Assert(t, choice.Drawn(rand.New(rand.NewPCG(1, 1)), c.among, c.may, cost), qt.Equals, c.want)
+			qt.Assert(t, placement.Cheapest(c.among, c.may, cost), qt.Equals, c.want)
+			qt.Assert(t, placement.CheapestOfSample(rand.New(rand.NewPCG(1, 1)), c.among, c.may, cost), qt.Equals, c.want)
 		})
 	}
 }
 
 // TestDrawn: of many, three are rated, however many there are; each of them is taken about as often, and where few may be, one is found.
-func TestDrawn(t *testing.T) {
+func TestCheapestOfSample(t *testing.T) {
 	for _, n := range []int{100, 200} {
 		rng := rand.New(rand.NewPCG(1, 1))
 		taken, rated := make(map[int]int), 0
 		const rounds = 2000
 		for range rounds {
-			taken[choice.Drawn(rng, upTo(n), func(int) bool { return true }, func(int) float64 { rated++; return rng.Float64() })]++
+			taken[placement.CheapestOfSample(rng, upTo(n), func(int) bool { return true }, func(int) float64 { rated++; return rng.Float64() })]++
 		}
 		qt.Assert(t, rated, qt.Equals, 3*rounds)
 		for a, times := range taken {
 			qt.Assert(t, times < 5*rounds/n, qt.IsTrue, qt.Commentf("%d: %d times", a, times))
 		}
-		qt.Assert(t, choice.Drawn(rng, upTo(n), func(a int) bool { return a == 7 }, func(int) float64 { return 1 }), qt.Equals, 7)
+		qt.Assert(t, placement.CheapestOfSample(rng, upTo(n), func(a int) bool { return a == 7 }, func(int) float64 { return 1 }), qt.Equals, 7)
 	}
 }
--- a/internal/entry/process/coverage.go
+++ b/internal/entry/process/coverage.go
@@ -18,9 +18,9 @@
 	coverageEvery = 2 * time.Second
 	// fewUpstreams is below how many linked upstreams of a service more are asked for: with fewer, the chance that none of
 	// them has room grows; and a service with so few may have none here at all.
-	fewUpstreams = 24
+	minUpstreams = 24
 	// lookedBefore is how many looks in a row must find too few: while a region starts, every entry is linked to few agents.
-	lookedBefore = 4
+	minShortLooks = 4
 )
 
 // coverage asks for more agents of services with few upstreams. While agents link to a part of the entries only, an entry
@@ -30,14 +30,14 @@
 	dir      *members.Directory
 	register *members.Registrar
 	// most is to how many entries agents link; with no more entries there is nothing to ask for.
-	most   int
-	cancel context.CancelFunc
+	maxLinks int
+	cancel   context.CancelFunc
 	// short counts the looks in a row that have found too few upstreams of a service.
-	short map[ident.Service]int
+	shortLooks map[ident.Service]int
 }
 
 func newCoverage(n *node.Node, d *members.Directory, r *members.Registrar, most int) *coverage {
-	return &coverage{node: n, dir: d, register: r, most: most, short: make(map[ident.Service]int)}
+	return &coverage{node: n, dir: d, register: r, maxLinks: most, shortLooks: make(map[ident.Service]int)}
 }
 
 // Start begins to look.
@@ -58,15 +58,15 @@
 			return
 		case <-time.After(coverageEvery):
 		}
-		if t := c.node.Routes(); t != nil && c.dir.Len() > c.most {
-			c.register.Want(c.look(t.Routes, c.node.Upstreams()))
+		if t := c.node.Routes(); t != nil && c.dir.Len() > c.maxLinks {
+			c.register.Want(c.servicesShort(t.Routes, c.node.Upstreams()))
 		}
 	}
 }
 
 // look takes in the routes and the upstreams that are linked now, and lists the services of which more are wanted. Those that
 // are cordoned don't count: what is left must be known well enough to find room in it.
-func (c *coverage) look(routes []route.Route, upstreams []dispatch.Upstream) []ident.Service {
+func (c *coverage) servicesShort(routes []route.Route, upstreams []dispatch.Upstream) []ident.Service {
 	count := make(map[ident.Service]int)
 	for _, u := range upstreams {
 		if !u.Cordoned {
@@ -79,12 +79,12 @@
 	}
 	var out []ident.Service
 	for _, s := range slices.Sorted(maps.Keys(services)) {
-		if count[s] >= fewUpstreams {
-			delete(c.short, s)
+		if count[s] >= minUpstreams {
+			delete(c.shortLooks, s)
 			continue
 		}
-		c.short[s]++
-		if c.short[s] >= lookedBefore {
+		c.shortLooks[s]++
+		if c.shortLooks[s] >= minShortLooks {
 			out = append(out, s)
 		}
 	}
--- a/internal/entry/process/coverage_test.go
+++ b/internal/entry/process/coverage_test.go
@@ -37,7 +37,7 @@
 			c := newCoverage(nil, nil, nil, 12)
 			var got []ident.Service
 			for _, upstreams := range test.looks {
-				got = c.look(routes, upstreams)
+				got = c.servicesShort(routes, upstreams)
 			}
 			qt.Assert(t, got, qt.DeepEquals, test.want)
 		})
--- a/internal/entry/process/drain.go
+++ b/internal/entry/process/drain.go
@@ -14,10 +14,10 @@
 const (
 	// lastAnswers is for those who still wait to be answered: the answers have time to get to their callers, and what is
 	// stopped is gone (50 ms) before a caller can send its job again.
-	lastAnswers = 200 * time.Millisecond
+	lastAnswersTime = 200 * time.Millisecond
 	// leaveMargin is what of the grace is left then: 50 ms to hand jobs over, 300 ms to take the entry's row out of the store,
 	// 100 ms to write logs.
-	leaveMargin = settings.LeaveReserve - lastAnswers
+	stopReserve = settings.LeaveReserve - lastAnswersTime
 	// handOverTime is what the store has for taking in that kept jobs may be taken over: some ten times its usual answer.
 	handOverTime = 50 * time.Millisecond
 )
@@ -34,14 +34,14 @@
 // told what is known of their jobs.
 func (p *Process) Drain() {
 	began := time.Now()
-	end := began.Add(p.set.Entry.Grace - leaveMargin)
+	end := began.Add(p.set.Entry.Grace - stopReserve)
 	p.log.WithField("unanswered", p.Node.Unanswered()).Info("leaving")
 	p.Node.Leave()
 	for _, l := range p.listeners(nameFront, nameCallers) {
 		l.Leave()
 	}
 	time.Sleep(p.set.Entry.Unready)
-	last := time.AfterFunc(time.Until(end.Add(-lastAnswers)), p.Node.CloseAll)
+	last := time.AfterFunc(time.Until(end.Add(-lastAnswersTime)), p.Node.CloseAll)
 	defer last.Stop()
 	p.shutdown(end, p.listeners(nameFront, nameCallers))
 	p.Node.HandOver()
--- a/internal/entry/process/process.go
+++ b/internal/entry/process/process.go
@@ -16,10 +16,10 @@
 	"hillreel/internal/core/fleet"
 	"hillreel/internal/core/follow"
 	"hillreel/internal/core/ident"
+	"hillreel/internal/core/keepalive"
 	"hillreel/internal/core/kernel"
 	"hillreel/internal/core/metrics"
 	"hillreel/internal/core/ops"
-	"hillreel/internal/core/probed"
 	"hillreel/internal/core/route"
 	"hillreel/internal/core/rows"
 	"hillreel/internal/core/settings"
@@ -30,7 +30,7 @@
 	"hillreel/internal/entry/dispatch"
 	"hillreel/internal/entry/node"
 	"hillreel/internal/entry/operator"
-	"hillreel/internal/kept/ledger"
+	"hillreel/internal/kept/jobstore"
 	"hillreel/internal/kept/record"
 	"hillreel/internal/link/members"
 )
@@ -54,7 +54,7 @@
 type Store interface {
 	follow.Store
 	store.Rows
-	ledger.Store
+	jobstore.Store
 }
 
 // Deps are what an entry gets from outside.
@@ -86,29 +86,29 @@
 // New builds an entry's services.
 func New(set *settings.Settings, d Deps) (*Process, error) {
 	p := &Process{set: set, log: d.Log, kernel: kernel.New(d.Log), bus: bus.New()}
-	objects := store.NewCopy(func(v *view.View) { p.Node.Allow(v.Serves) }, d.Log)
+	objects := store.NewReplica(func(v *view.View) { p.Node.SetAllowed(v.Serves) }, d.Log)
 	recorder := burn.New(time.Now, func() []object.Objective { return objects.View().Objectives() })
 	p.Node = node.New(set, d.Store, d.Decode, node.NewObserver(d.Log, recordBurn(recorder)), d.Log)
 	changes := store.New(d.Store, time.Now)
 	api := operator.New(changes, objects, p.Node, recorder, d.Log)
 	dir := members.NewDirectory(func(entries []fleet.Entry) { p.publish(bus.Entries, entries) }, d.Log)
 	entry := members.Entry{Name: set.Node.Name, Incarnation: p.Node.Incarnation().String(), Zone: ident.Zone(set.Node.Zone)}
-	register := members.NewRegistrar(d.Store, advertised(set), entry, dir.Len, d.Log)
-	p.Front = web.New("clients", set.Entry.Front, d.Front(p.Node), callers(set))
+	register := members.NewRegistrar(d.Store, advertisedAddress(set), entry, dir.Len, d.Log)
+	p.Front = web.New("clients", set.Entry.Front, d.Front(p.Node), callerLimits(set))
 	inForce := func() caller.Services { return objects.View() }
-	p.Callers = web.New("callers", set.Entry.Callers, caller.New(p.Node, inForce, int64(set.Entry.MaxBody), d.Log), callers(set))
+	p.Callers = web.New("callers", set.Entry.Callers, caller.New(p.Node, inForce, int64(set.Entry.MaxBody), d.Log), callerLimits(set))
 	p.Metrics = web.New("metrics", set.Node.Metrics, ops.Handler(ops.Tokens(set.Entry), p.Node.Ready, api.Routes), web.Operators)
 	metrics.Report("zones", func() any { return p.Node.Zones() })
-	configFollower := follow.New(d.Store, d.Config.Table, follow.Whole, set.Platform.ConfigWait, p.configReader(d), d.Log).With(follow.Options{
-		Wait: func() time.Duration { return configWait(set, dir.Len()) },
+	configFollower := follow.New(d.Store, d.Config.Table, follow.SinglePart, set.Platform.ConfigWait, p.configReader(d), d.Log).With(follow.Options{
+		WatchTimeout: func() time.Duration { return configWait(set, dir.Len()) },
 	})
-	objectsFollower := follow.New(d.Store, store.Objects, follow.Whole, set.Platform.ListWait, p.objectsReader(objects), d.Log)
-	entriesFollower := follow.New(d.Store, members.Table, follow.Whole, set.Platform.ListWait, dir.Change, d.Log).With(follow.Options{Gather: dir.Gather})
+	objectsFollower := follow.New(d.Store, store.Objects, follow.SinglePart, set.Platform.ListWait, p.objectsReader(objects), d.Log)
+	entriesFollower := follow.New(d.Store, members.Table, follow.SinglePart, set.Platform.ListWait, dir.Change, d.Log).With(follow.Options{BatchDelay: dir.Gather})
 	p.Node.SetFollows(func() bool { return configFollower.Current() && objectsFollower.Current() && entriesFollower.Current() })
-	services := []named{
+	services := []namedService{
 		{nameNode, p.Node},
 		{nameConfig, configFollower},
-		{nameCancels, follow.New(d.Store, record.Cancels, p.Node.CancelRows(), set.Platform.ListWait, p.Node.Cancelled, d.Log)},
+		{nameCancels, follow.New(d.Store, record.Cancels, p.Node.CancellationParts(), set.Platform.ListWait, p.Node.HandleCancellations, d.Log)},
 		{nameObjects, objectsFollower},
 		{nameEntries, entriesFollower},
 		{nameRegister, register},
@@ -126,47 +126,47 @@
 // freshPolls is how many entries, on average, ask for the configuration anew within its wait. A call that the store has taken and will
 // never answer is noticed after its wait only; an entry that hangs so gets a new configuration from agents, which have it from those that do
 // not. So the calls of a region need not grow with its entries.
-const freshPolls = 6
+const pollsPerWait = 6
 
 // configWait is how long one call waits for a change of the configuration, in a region of so many entries.
 func configWait(set *settings.Settings, entries int) time.Duration {
-	shared := max(entries, freshPolls)
-	return min(set.Platform.ConfigWait*time.Duration(shared)/freshPolls, max(set.Platform.ListWait, set.Platform.ConfigWait))
+	shared := max(entries, pollsPerWait)
+	return min(set.Platform.ConfigWait*time.Duration(shared)/pollsPerWait, max(set.Platform.ListWait, set.Platform.ConfigWait))
 }
 
 // servers lists the servers that the settings give an address. They start last, when there is what they serve.
-func (p *Process) servers() []named {
-	var out []named
+func (p *Process) servers() []namedService {
+	var out []namedService
 	if p.set.Entry.Front != "" {
-		out = append(out, named{nameFront, p.Front})
+		out = append(out, namedService{nameFront, p.Front})
 	}
 	if p.set.Entry.Callers != "" {
-		out = append(out, named{nameCallers, p.Callers})
+		out = append(out, namedService{nameCallers, p.Callers})
 	}
 	if p.set.Entry.Readiness != "" {
-		checks := web.New("readiness checks", p.set.Entry.Readiness, web.Readiness(p.Node.Ready), web.Small)
-		out = append(out, named{nameReadiness, checks})
+		checks := web.New("readiness checks", p.set.Entry.Readiness, web.Readiness(p.Node.Ready), web.Internal)
+		out = append(out, namedService{nameReadiness, checks})
 	}
-	return append(out, named{nameMetrics, p.Metrics})
+	return append(out, namedService{nameMetrics, p.Metrics})
 }
 
 // recordBurn counts answers in the burn report.
 func recordBurn(r *burn.Recorder) func(*route.Route, dispatch.Answer, dispatch.Summary) {
 	return func(queue *route.Route, a dispatch.Answer, s dispatch.Summary) {
-		r.Ended(burn.Job{
+		r.RecordJob(burn.Job{
 			Service: queue.Service, Complete: a.State == verdict.Complete, Took: s.Took, Longest: s.Longest, Upstreams: s.Blamed,
 		})
 	}
 }
 
 // named is a service with the name under which it registers.
-type named struct {
+type namedService struct {
 	name    string
 	service kernel.Service
 }
 
 // advertised is where agents find the entry.
-func advertised(set *settings.Settings) ident.Address {
+func advertisedAddress(set *settings.Settings) ident.Address {
 	if set.Node.Advertise != "" {
 		return ident.Address(set.Node.Advertise)
 	}
@@ -174,10 +174,10 @@
 }
 
 // callers bounds what callers may do.
-func callers(set *settings.Settings) web.Options {
+func callerLimits(set *settings.Settings) web.Options {
 	return web.Options{
 		HeaderTimeout: set.Entry.HeaderTimeout, ReadTimeout: set.Entry.ReadTimeout, IdleTimeout: set.Entry.IdleTimeout,
-		MaxHeader: maxHeader, MaxConnections: set.Entry.MaxConnections, Silence: probed.Patient,
+		MaxHeader: maxHeader, MaxConnections: set.Entry.MaxConnections, KeepAlive: keepalive.Long,
 	}
 }
 
@@ -185,10 +185,10 @@
 const maxHeader = 16 << 10
 
 // configReader decodes the operator's configuration and cordons and announces them, cordons first: a configuration lets jobs in.
-func (p *Process) configReader(d Deps) follow.Change {
+func (p *Process) configReader(d Deps) follow.Handler {
 	cordons := cordon.NewReader(d.Cordons, p.Node.SetCordons, p.log)
 	return func(c follow.Changes) {
-		cordons.Change(c)
+		cordons.ApplyChanges(c)
 		for _, r := range c.Rows {
 			if r.Key != d.Config || r.Removed {
 				continue
@@ -204,11 +204,11 @@
 }
 
 // objectsReader takes in hillreel's own configuration and the cordons in it.
-func (p *Process) objectsReader(objects *store.Copy) follow.Change {
+func (p *Process) objectsReader(objects *store.Replica) follow.Handler {
 	cordons := cordon.NewReader(store.Cordons, p.Node.SetCordons, p.log)
 	return func(c follow.Changes) {
-		cordons.Change(c)
-		objects.Change(c)
+		cordons.ApplyChanges(c)
+		objects.ApplyChanges(c)
 	}
 }
 
--- a/internal/entry/process/process_test.go
+++ b/internal/entry/process/process_test.go
@@ -20,7 +20,7 @@
 		qt.Assert(t, configWait(set, n), qt.Equals, least)
 	}
 	for _, n := range []int{8, 50, 92, 184} {
-		qt.Assert(t, perSecond(n) <= 1.01*freshPolls/least.Seconds(), qt.IsTrue, qt.Commentf("%d entries: %.1f", n, perSecond(n)))
+		qt.Assert(t, perSecond(n) <= 1.01*pollsPerWait/least.Seconds(), qt.IsTrue, qt.Commentf("%d entries: %.1f", n, perSecond(n)))
 		qt.Assert(t, perSecond(2*n) <= 2.05*perSecond(n), qt.IsTrue)
 	}
 	qt.Assert(t, configWait(set, 2000) <= max(set.Platform.ListWait, least), qt.IsTrue)
--- a/internal/entry/queue/queue.go
+++ b/internal/entry/queue/queue.go
@@ -14,22 +14,22 @@
 )
 
 // Turn is what a job's place in the order rests on.
-type Turn struct {
+type Rank struct {
 	// Begun: runs of the job were started; giving it up would waste their work.
 	Begun bool
 	// Late: it can't be in time any more.
 	Late bool
 	// GoesBy is when it should go at the latest.
-	GoesBy time.Time
+	PlaceBy time.Time
 	// Priority is its route's; zero goes first.
 	Priority int
 	Job      job.ID
 }
 
 // Compare orders turns: jobs that have begun first, those that can't be in time last, then by when they should go.
-func Compare(a, b Turn) int {
+func Compare(a, b Rank) int {
 	return cmp.Or(
-		falseFirst(b.Begun, a.Begun), falseFirst(a.Late, b.Late), a.GoesBy.Compare(b.GoesBy), cmp.Compare(a.Priority, b.Priority),
+		falseFirst(b.Begun, a.Begun), falseFirst(a.Late, b.Late), a.PlaceBy.Compare(b.PlaceBy), cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(a.Job, b.Job),
 	)
 }
@@ -49,7 +49,7 @@
 type Job interface {
 	comparable
 	// Turn is the job's present one; it may change while the job waits.
-	Turn() Turn
+	Rank() Rank
 }
 
 // Queue holds the jobs of one service that have tasks to place, the most urgent first.
@@ -65,7 +65,7 @@
 // of which nothing has begun after all: the list is in order but for those, and one that is added beside them may come
 // out before or behind them.
 func (q *Queue[J]) Add(j J) {
-	i, _ := slices.BinarySearchFunc(q.jobs, j.Turn(), func(have J, turn Turn) int { return Compare(have.Turn(), turn) })
+	i, _ := slices.BinarySearchFunc(q.jobs, j.Rank(), func(have J, turn Rank) int { return Compare(have.Rank(), turn) })
 	q.jobs = slices.Insert(q.jobs, i, j)
 }
 
@@ -85,13 +85,13 @@
 
 // lookahead is how many jobs that do not fit are passed over for ones behind them that do. Passing over more
 // would let small tasks hold up large ones.
-const lookahead = 4
+const maxSkipped = 4
 
 // Offer offers room to the jobs in their order. place places what fits of a job, which may leave the queue by it, and tells whether room
 // that another job leaves could help it; jobs that no such room helps are passed over without limit.
 func (q *Queue[J]) Offer(place func(J) (waitsForRoom bool)) {
 	missed := 0
-	for i := 0; i < len(q.jobs) && missed < lookahead; {
+	for i := 0; i < len(q.jobs) && missed < maxSkipped; {
 		j := q.jobs[i]
 		waits := place(j)
 		if i >= len(q.jobs) || q.jobs[i] != j {
--- a/internal/entry/queue/queue_test.go
+++ b/internal/entry/queue/queue_test.go
@@ -11,9 +11,9 @@
 )
 
 // waiter is a job that waits.
-type waiter struct{ turn queue.Turn }
+type waiter struct{ rank queue.Rank }
 
-func (w *waiter) Turn() queue.Turn { return w.turn }
+func (w *waiter) Rank() queue.Rank { return w.rank }
 
 var start = time.Unix(1000, 0)
 
@@ -21,7 +21,7 @@
 func ids(q *queue.Queue[*waiter]) []job.ID {
 	var out []job.ID
 	for _, w := range q.All() {
-		out = append(out, w.turn.Job)
+		out = append(out, w.rank.Job)
 	}
 	return out
 }
@@ -29,14 +29,14 @@
 func TestOrder(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		turns []queue.Turn
+		turns []queue.Rank
 		want  []job.ID
 	}{
-		{"by when they should go", []queue.Turn{{GoesBy: start.Add(time.Second), Job: 1}, {GoesBy: start, Job: 2}}, []job.ID{2, 1}},
-		{"begun first", []queue.Turn{{GoesBy: start, Job: 1}, {GoesBy: start.Add(time.Second), Begun: true, Job: 2}}, []job.ID{2, 1}},
-		{"late last", []queue.Turn{{GoesBy: start, Late: true, Job: 1}, {GoesBy: start.Add(time.Second), Job: 2}}, []job.ID{2, 1}},
-		{"begun before late", []queue.Turn{{Late: true, Begun: true, Job: 1}, {Job: 2}}, []job.ID{1, 2}},
-		{"priority, then id", []queue.Turn{{Priority: 1, Job: 1}, {Job: 3}, {Job: 2}}, []job.ID{2, 3, 1}},
+		{"by when they should go", []queue.Rank{{PlaceBy: start.Add(time.Second), Job: 1}, {PlaceBy: start, Job: 2}}, []job.ID{2, 1}},
+		{"begun first", []queue.Rank{{PlaceBy: start, Job: 1}, {PlaceBy: start.Add(time.Second), Begun: true, Job: 2}}, []job.ID{2, 1}},
+		{"late last", []queue.Rank{{PlaceBy: start, Late: true, Job: 1}, {PlaceBy: start.Add(time.Second), Job: 2}}, []job.ID{2, 1}},
+		{"begun before late", []queue.Rank{{Late: true, Begun: true, Job: 1}, {Job: 2}}, []job.ID{1, 2}},
+		{"priority, then id", []queue.Rank{{Priority: 1, Job: 1}, {Job: 3}, {Job: 2}}, []job.ID{2, 3, 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := queue.New[*waiter]("s")
@@ -49,12 +49,12 @@
 }
 
 // TestChangedTurn: a job whose turn has changed since it was added is found all the same.
-func TestChangedTurn(t *testing.T) {
+func TestChangedRank(t *testing.T) {
 	q := queue.New[*waiter]("s")
-	first := &waiter{queue.Turn{Job: 1}}
+	first := &waiter{queue.Rank{Job: 1}}
 	q.Add(first)
-	q.Add(&waiter{queue.Turn{Job: 2}})
-	first.turn.Late = true
+	q.Add(&waiter{queue.Rank{Job: 2}})
+	first.rank.Late = true
 	q.Remove(first)
 	qt.Assert(t, ids(q), qt.DeepEquals, []job.ID{2})
 }
@@ -76,15 +76,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			q := queue.New[*waiter]("s")
 			for id := range job.ID(10) {
-				q.Add(&waiter{queue.Turn{Job: id + 1}})
+				q.Add(&waiter{queue.Rank{Job: id + 1}})
 			}
 			offered := 0
 			q.Offer(func(w *waiter) bool {
 				offered++
-				if c.fits(w.turn.Job) {
+				if c.fits(w.rank.Job) {
 					q.Remove(w)
 				}
-				return c.waits(w.turn.Job)
+				return c.waits(w.rank.Job)
 			})
 			qt.Assert(t, offered, qt.Equals, c.want)
 		})
--- a/internal/entry/doubt/doubt.go
+++ b/internal/entry/unconfirmed/doubt.go
@@ -2,7 +2,7 @@
 //
 // A run that was lost with its agent says nothing of its upstream: whether that was lost as well shows only once another agent on the VM tells
 // which one stands there. Without it a crash that its agent does not survive would count for nothing.
-package doubt
+package unconfirmed
 
 import (
 	"slices"
@@ -14,13 +14,13 @@
 
 const (
 	// keepFor is how long a VM may take to be back with another upstream: agents and upstreams that end are back within seconds.
-	keepFor = 10 * time.Second
+	maxAge = 10 * time.Second
 	// most bounds the runs in doubt: those of a few agents.
-	most = 1024
+	maxCrashes = 1024
 )
 
 // List holds the runs that are in doubt. One goroutine uses it.
-type List struct{ all []entry }
+type Crashes struct{ all []entry }
 
 // entry is a run that was lost with its agent.
 type entry struct {
@@ -29,25 +29,25 @@
 }
 
 // Add notes a crash of which it is in doubt whether it was one.
-func (l *List) Add(now time.Time, c fleet.Crash) {
-	if len(l.all) < most {
+func (l *Crashes) Add(now time.Time, c fleet.Crash) {
+	if len(l.all) < maxCrashes {
 		l.all = append(l.all, entry{c, now})
 	}
 }
 
 // Decide takes in which upstream an agent tells of on a VM, and returns the crashes that this makes certain. An agent that begins
 // tells first of the upstream that its former life knew; settled is whether it knows that this one lives.
-func (l *List) Decide(now time.Time, vm ident.UpstreamName, stands ident.UpstreamID, settled bool) []fleet.Crash {
+func (l *Crashes) Resolve(now time.Time, vm ident.UpstreamName, stands ident.UpstreamID, settled bool) []fleet.Crash {
 	var lost []fleet.Crash
 	l.all = slices.DeleteFunc(l.all, func(e entry) bool {
 		if e.crash.VM != vm {
-			return now.Sub(e.since) > keepFor
+			return now.Sub(e.since) > maxAge
 		}
 		if e.crash.Life.ID != stands {
 			lost = append(lost, e.crash)
 			return true
 		}
-		return settled || now.Sub(e.since) > keepFor
+		return settled || now.Sub(e.since) > maxAge
 	})
 	return lost
 }
--- a/internal/kept/notes/notes.go
+++ b/internal/kept/acks/notes.go
@@ -1,7 +1,7 @@
 // Package notes tells agents which ends of kept jobs' runs they need not withhold any more: those that are stored, and those
 // that count for nothing. Of jobs that the entry does not know, it asks the store. It has no I/O of its own; one goroutine
 // uses it.
-package notes
+package acks
 
 import (
 	"github.com/sirupsen/logrus"
@@ -16,13 +16,13 @@
 // Agents sends to agents.
 type Agents interface {
 	// Noted tells that ends are stored or, with void, that they count for nothing.
-	Noted(agent ident.Incarnation, runs []fleet.RunRef, void bool)
+	Acknowledge(agent ident.Incarnation, runs []fleet.RunRef, void bool)
 }
 
 // Store reads rows.
 type Store interface {
 	// Look reads the rows of one job; Looked follows.
-	Look(id job.ID)
+	LookUp(id job.ID)
 }
 
 // End is the end of a run at an agent.
@@ -32,27 +32,27 @@
 }
 
 // Notes holds the ends that the store is asked about.
-type Notes struct {
+type Sender struct {
 	agents Agents
 	store  Store
 	log    *logrus.Entry
 	// unknown are ends of jobs that the store is being asked about.
-	unknown map[job.ID][]End
+	pending map[job.ID][]End
 }
 
 // New returns Notes without ends.
-func New(a Agents, s Store, log *logrus.Entry) *Notes {
-	return &Notes{agents: a, store: s, log: log, unknown: make(map[job.ID][]End)}
+func New(a Agents, s Store, log *logrus.Entry) *Sender {
+	return &Sender{agents: a, store: s, log: log, pending: make(map[job.ID][]End)}
 }
 
 // Stored tells agents that ends are stored.
-func (n *Notes) Stored(ends ...End) { n.tell(ends, false) }
+func (n *Sender) AckStored(ends ...End) { n.send(ends, false) }
 
 // Void tells an agent that an end counts for nothing.
-func (n *Notes) Void(e End) { n.tell([]End{e}, true) }
+func (n *Sender) AckVoid(e End) { n.send([]End{e}, true) }
 
 // tell sends one word to each agent.
-func (n *Notes) tell(ends []End, void bool) {
+func (n *Sender) send(ends []End, void bool) {
 	var agents []ident.Incarnation
 	runs := make(map[ident.Incarnation][]fleet.RunRef)
 	for _, e := range ends {
@@ -62,35 +62,35 @@
 		runs[e.Agent] = append(runs[e.Agent], e.Run)
 	}
 	for _, a := range agents {
-		n.agents.Noted(a, runs[a], void)
+		n.agents.Acknowledge(a, runs[a], void)
 	}
 }
 
 // LookUp asks the store about the job of an end that this entry does not know.
-func (n *Notes) LookUp(e End) {
+func (n *Sender) LookUp(e End) {
 	id := e.Run.Task.Job
-	if n.unknown[id] == nil {
-		n.store.Look(id)
+	if n.pending[id] == nil {
+		n.store.LookUp(id)
 	}
-	n.unknown[id] = append(n.unknown[id], e)
+	n.pending[id] = append(n.pending[id], e)
 }
 
 // Looked handles what the store has of a job that was looked up.
-func (n *Notes) Looked(id job.ID, open, ended rows.Row, err error) {
-	ends := n.unknown[id]
-	delete(n.unknown, id)
+func (n *Sender) HandleLookUp(id job.ID, open, ended rows.Row, err error) {
+	ends := n.pending[id]
+	delete(n.pending, id)
 	if err != nil || open.Version != 0 {
 		return // agents tell the end again, and its job's owner will hear of it
 	}
-	var how record.Ended
+	var how record.EndedJob
 	if ended.Version != 0 {
-		if how, err = record.Read[record.Ended](ended); err != nil {
+		if how, err = record.Decode[record.EndedJob](ended); err != nil {
 			record.LogUnreadable(n.log, err)
 			return
 		}
 	}
 	for _, e := range ends {
 		counted := how.Counted(e.Run.Task.Step, e.Run.Task.Index, e.Run.Run)
-		n.tell([]End{e}, !counted)
+		n.send([]End{e}, !counted)
 	}
 }
--- a/internal/kept/claims/claims_test.go
+++ b/internal/kept/claims/claims_test.go
@@ -11,9 +11,9 @@
 	"hillreel/internal/core/logs"
 	"hillreel/internal/core/rows"
 	"hillreel/internal/kept/claims"
-	"hillreel/internal/kept/ledger"
+	"hillreel/internal/kept/jobstore"
+	"hillreel/internal/kept/lease"
 	"hillreel/internal/kept/record"
-	"hillreel/internal/kept/tenure"
 )
 
 const (
@@ -26,27 +26,27 @@
 
 // entry is an entry whose lease and store do what the test says.
 type entry struct {
-	held   bool
-	wanted bool
-	quiet  time.Time
-	scans  int
-	writes []ledger.Op
-	then   []func(time.Time, ledger.Result)
+	held      bool
+	wanted    bool
+	quiet     time.Time
+	scans     int
+	writes    []jobstore.Op
+	callbacks []func(time.Time, jobstore.Result)
 }
 
 func (e *entry) ID() record.LeaseID    { return "own-0" }
 func (e *entry) Held(time.Time) bool   { return e.held }
-func (e *entry) Want(time.Time)        { e.wanted = true }
+func (e *entry) Request(time.Time)     { e.wanted = true }
 func (e *entry) QuietSince() time.Time { return e.quiet }
 func (e *entry) Scan()                 { e.scans++ }
-func (e *entry) Write(op ledger.Op, then func(time.Time, ledger.Result)) {
-	e.writes, e.then = append(e.writes, op), append(e.then, then)
+func (e *entry) Write(op jobstore.Op, then func(time.Time, jobstore.Result)) {
+	e.writes, e.callbacks = append(e.writes, op), append(e.callbacks, then)
 }
 
 func newClaims(e *entry) *claims.Claims {
 	return claims.New(claims.Options{
-		Node: "vm-1", Length: 4 * time.Second, Settle: settle,
-		Event: func(logrus.Level, string, logrus.Fields) {}, Log: logs.Discard(),
+		Node: "vm-1", LeaseDuration: 4 * time.Second, SettleTime: settle,
+		LogEvent: func(logrus.Level, string, logrus.Fields) {}, Log: logs.Discard(),
 	}, e, e)
 }
 
@@ -54,13 +54,13 @@
 func leaseRow(node string) rows.Row {
 	return rows.Row{
 		Key: record.LeaseKey(old), Version: 3,
-		Value: record.LoggedValue(logs.Discard(), record.Lease{Node: node, UntilMs: ended.Milliseconds()}),
+		Value: record.EncodeLogged(logs.Discard(), record.Lease{Node: node, UntilMs: ended.Milliseconds()}),
 	}
 }
 
 // TestClaim: a lease is claimed once nothing can run for it any more, and only with a lease of one's own.
 func TestClaim(t *testing.T) {
-	const late = settle + tenure.ClockMargin
+	const late = settle + lease.ClockMargin
 	for _, test := range []struct {
 		name           string
 		node           string
@@ -79,37 +79,37 @@
 		t.Run(test.name, func(t *testing.T) {
 			e := &entry{held: test.held, quiet: start.Add(-test.quietFor)}
 			c := newClaims(e)
-			c.Read(start, test.clock, []rows.Row{leaseRow(test.node)})
-			c.Read(start, test.clock, []rows.Row{leaseRow(test.node)}) // it is not claimed twice
-			qt.Assert(t, c.Any(), qt.Equals, test.writes)
+			c.HandleLeases(start, test.clock, []rows.Row{leaseRow(test.node)})
+			c.HandleLeases(start, test.clock, []rows.Row{leaseRow(test.node)}) // it is not claimed twice
+			qt.Assert(t, c.HasClaims(), qt.Equals, test.writes)
 			qt.Assert(t, len(e.writes), qt.Equals, map[bool]int{true: 1}[test.writes])
 			qt.Assert(t, e.wanted, qt.Equals, test.wanted)
-			qt.Assert(t, c.Others(), qt.IsTrue)
+			qt.Assert(t, c.HasOthers(), qt.IsTrue)
 		})
 	}
 }
 
 // TestScan: once a lease is claimed its jobs are sought, and its row goes when all of them are taken over.
-func TestScan(t *testing.T) {
+func TestClaimedJobsAreScanned(t *testing.T) {
 	e := &entry{held: true}
 	c := newClaims(e)
-	c.Read(start, time.Minute, []rows.Row{leaseRow("vm-2")})
-	e.then[0](start, ledger.Result{Outcome: ledger.Done, Version: 4})
+	c.HandleLeases(start, time.Minute, []rows.Row{leaseRow("vm-2")})
+	e.callbacks[0](start, jobstore.Result{Outcome: jobstore.Done, Version: 4})
 	qt.Assert(t, e.scans, qt.Equals, 1)
 	present := []rows.Row{leaseRow("vm-2"), {Key: record.LeaseKey("alive-0")}}
-	ids := c.Scanned([]claims.Job{{1, old}, {2, "alive-0"}, {3, "gone-0"}, {4, old}}, present)
+	ids := c.HandleScan([]claims.Job{{1, old}, {2, "alive-0"}, {3, "gone-0"}, {4, old}}, present)
 	qt.Assert(t, ids, qt.DeepEquals, []job.ID{1, 3, 4})
-	c.Taken(1)
-	c.End()
+	c.RemoveJob(1)
+	c.RemoveFinished()
 	qt.Assert(t, e.writes, qt.HasLen, 1)
-	c.Taken(4)
-	c.End()
+	c.RemoveJob(4)
+	c.RemoveFinished()
 	qt.Assert(t, e.writes, qt.HasLen, 2)
 	qt.Assert(t, e.writes[1].Txn, qt.DeepEquals, rows.Txn{
 		If:     []rows.Condition{{Key: record.LeaseKey(old), Version: 4}},
 		Remove: []rows.Key{record.LeaseKey(old)},
 	})
-	qt.Assert(t, c.Any(), qt.IsFalse)
+	qt.Assert(t, c.HasClaims(), qt.IsFalse)
 }
 
 // TestLostClaim: a claim that another entry was faster with, or that goes with the entry's own lease, is given up.
@@ -118,18 +118,18 @@
 		name string
 		do   func(c *claims.Claims, e *entry)
 	}{
-		{"conflict", func(_ *claims.Claims, e *entry) { e.then[0](start, ledger.Result{Outcome: ledger.Conflict}) }},
+		{"conflict", func(_ *claims.Claims, e *entry) { e.callbacks[0](start, jobstore.Result{Outcome: jobstore.Conflict}) }},
 		{"own lease lost", func(c *claims.Claims, e *entry) {
-			c.Lost()
-			e.then[0](start, ledger.Result{Outcome: ledger.Done, Version: 4})
+			c.Clear()
+			e.callbacks[0](start, jobstore.Result{Outcome: jobstore.Done, Version: 4})
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			e := &entry{held: true}
 			c := newClaims(e)
-			c.Read(start, time.Minute, []rows.Row{leaseRow("vm-2")})
+			c.HandleLeases(start, time.Minute, []rows.Row{leaseRow("vm-2")})
 			test.do(c, e)
-			qt.Assert(t, c.Any(), qt.IsFalse)
+			qt.Assert(t, c.HasClaims(), qt.IsFalse)
 			qt.Assert(t, e.scans, qt.Equals, 0)
 		})
 	}
--- a/internal/kept/inquiry/inquiry.go
+++ b/internal/kept/inquiry/inquiry.go
@@ -21,44 +21,44 @@
 type Inquiry struct {
 	agents Agents
 	// limit is how long an answer is waited for.
-	limit     time.Duration
-	without   rule.Set
-	questions []*question
-	last      uint64
+	timeout    time.Duration
+	without    rule.Set
+	queries    []*query
+	lastNumber uint64
 }
 
 // question is one question to all agents.
-type question struct {
-	number uint64
-	began  time.Time
+type query struct {
+	number  uint64
+	started time.Time
 	// unanswered are the agents whose answers are waited for.
 	unanswered map[ident.Incarnation]bool
-	then       func(now time.Time)
+	onComplete func(now time.Time)
 }
 
 // New returns an Inquiry without questions. An agent that does not answer for settle is not waited for any longer: nothing
 // of what it had still runs.
 func New(a Agents, settle time.Duration, without rule.Set) *Inquiry {
-	return &Inquiry{agents: a, limit: settle, without: without}
+	return &Inquiry{agents: a, timeout: settle, without: without}
 }
 
 // Ask asks all agents about some jobs; then is called once, when all have answered or are not waited for any longer.
 func (q *Inquiry) Ask(now time.Time, jobs []job.ID, then func(now time.Time)) {
-	q.last++
-	next := &question{number: q.last, began: now, unanswered: make(map[ident.Incarnation]bool), then: then}
-	if !q.without.Off(rule.AskFirst) {
+	q.lastNumber++
+	next := &query{number: q.lastNumber, started: now, unanswered: make(map[ident.Incarnation]bool), onComplete: then}
+	if !q.without.Has(rule.AskFirst) {
 		for _, a := range q.agents.Linked() {
 			next.unanswered[a] = true
 			q.agents.Ask(a, next.number, jobs)
 		}
 	}
-	q.questions = append(q.questions, next)
+	q.queries = append(q.queries, next)
 	q.Tick(now)
 }
 
 // Answered handles an agent's word that it has told all ends that a question is about.
-func (q *Inquiry) Answered(now time.Time, agent ident.Incarnation, number uint64) {
-	for _, o := range q.questions {
+func (q *Inquiry) HandleAnswer(now time.Time, agent ident.Incarnation, number uint64) {
+	for _, o := range q.queries {
 		if o.number == number {
 			delete(o.unanswered, agent)
 		}
@@ -67,8 +67,8 @@
 }
 
 // AgentLost handles an agent that is out of hearing: it can't answer any more.
-func (q *Inquiry) AgentLost(now time.Time, agent ident.Incarnation) {
-	for _, o := range q.questions {
+func (q *Inquiry) HandleAgentLost(now time.Time, agent ident.Incarnation) {
+	for _, o := range q.queries {
 		delete(o.unanswered, agent)
 	}
 	q.Tick(now)
@@ -76,18 +76,18 @@
 
 // Tick ends the questions that all agents have answered, and those that have waited for long enough.
 func (q *Inquiry) Tick(now time.Time) {
-	var rest []*question
-	open := q.questions
-	q.questions = nil // what follows from an answer may ask again
+	var rest []*query
+	open := q.queries
+	q.queries = nil // what follows from an answer may ask again
 	for _, o := range open {
-		if len(o.unanswered) > 0 && now.Sub(o.began) < q.limit {
+		if len(o.unanswered) > 0 && now.Sub(o.started) < q.timeout {
 			rest = append(rest, o)
 			continue
 		}
-		o.then(now)
+		o.onComplete(now)
 	}
-	q.questions = append(rest, q.questions...)
+	q.queries = append(rest, q.queries...)
 }
 
 // Clear forgets all questions; nobody hears of their answers.
-func (q *Inquiry) Clear() { q.questions = nil }
+func (q *Inquiry) Clear() { q.queries = nil }
--- a/internal/kept/inquiry/inquiry_test.go
+++ b/internal/kept/inquiry/inquiry_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestEndOfQuestion: a question ends once, when each agent has answered it, is out of hearing, or was silent for too long.
-func TestEndOfQuestion(t *testing.T) {
+func TestQueryCompletion(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name    string
@@ -36,19 +36,19 @@
 		ends    int
 	}{
 		{"nothing", nil, func(*inquiry.Inquiry) {}, 0},
-		{"one answers", nil, func(q *inquiry.Inquiry) { q.Answered(start, agentA, 1) }, 0},
+		{"one answers", nil, func(q *inquiry.Inquiry) { q.HandleAnswer(start, agentA, 1) }, 0},
 		{"another question is answered", nil, func(q *inquiry.Inquiry) {
-			q.Answered(start, agentA, 2)
-			q.Answered(start, agentB, 2)
+			q.HandleAnswer(start, agentA, 2)
+			q.HandleAnswer(start, agentB, 2)
 		}, 0},
 		{"both answer", nil, func(q *inquiry.Inquiry) {
-			q.Answered(start, agentA, 1)
-			q.Answered(start, agentB, 1)
+			q.HandleAnswer(start, agentA, 1)
+			q.HandleAnswer(start, agentB, 1)
 			q.Tick(start)
 		}, 1},
 		{"one answers, the other is lost", nil, func(q *inquiry.Inquiry) {
-			q.Answered(start, agentA, 1)
-			q.AgentLost(start, agentB)
+			q.HandleAnswer(start, agentA, 1)
+			q.HandleAgentLost(start, agentB)
 		}, 1},
 		{"just before the limit", nil, func(q *inquiry.Inquiry) { q.Tick(start.Add(settle - 1)) }, 0},
 		{"at the limit", nil, func(q *inquiry.Inquiry) { q.Tick(start.Add(settle)) }, 1},
@@ -69,17 +69,17 @@
 }
 
 // TestAskAgain: what follows from an answer may ask again; that is a question of its own.
-func TestAskAgain(t *testing.T) {
+func TestAskFromCallback(t *testing.T) {
 	now, asked, second := time.Unix(1000, 0), agents{}, false
 	q := inquiry.New(asked, settle, nil)
 	q.Ask(now, []job.ID{7}, func(now time.Time) {
 		q.Ask(now, []job.ID{7}, func(time.Time) { second = true })
 	})
-	q.AgentLost(now, agentB)
-	q.Answered(now, agentA, 1)
+	q.HandleAgentLost(now, agentB)
+	q.HandleAnswer(now, agentA, 1)
 	qt.Assert(t, asked[agentA], qt.DeepEquals, []uint64{1, 2})
 	qt.Assert(t, second, qt.IsFalse)
-	q.Answered(now, agentA, 2)
-	q.Answered(now, agentB, 2)
+	q.HandleAnswer(now, agentA, 2)
+	q.HandleAnswer(now, agentB, 2)
 	qt.Assert(t, second, qt.IsTrue)
 }
--- a/internal/kept/ledger/job_test.go
+++ b/internal/kept/jobstore/job_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package jobstore_test
 
 import (
 	"testing"
@@ -9,17 +9,17 @@
 	"hillreel/internal/core/logs"
 	"hillreel/internal/core/rows"
 	"hillreel/internal/core/verdict"
-	"hillreel/internal/kept/ledger"
+	"hillreel/internal/kept/jobstore"
 	"hillreel/internal/kept/record"
 )
 
 // TestPresent: after a conflict, the rows that a write looked at tell whether an attempt before was done.
-func TestPresent(t *testing.T) {
+func TestStored(t *testing.T) {
 	const id = job.ID(7)
 	layout := record.Layout{Parts: 2}
-	written := record.Open{Owner: "own-0", Generation: 2, Sequence: 3}
-	value := func(v any) []byte { return record.LoggedValue(logs.Discard(), v) }
-	ended := rows.Row{Version: 6, Value: value(record.Ended{State: verdict.Failed})}
+	written := record.OpenJob{Owner: "own-0", Generation: 2, Sequence: 3}
+	value := func(v any) []byte { return record.EncodeLogged(logs.Discard(), v) }
+	ended := rows.Row{Version: 6, Value: value(record.EndedJob{State: verdict.Failed})}
 	for _, test := range []struct {
 		name        string
 		open, ended rows.Row
@@ -28,22 +28,22 @@
 		state       verdict.State
 	}{
 		{"it is there", rows.Row{Version: 5, Value: value(written)}, rows.Row{}, true, 5, ""},
-		{"an earlier write", rows.Row{Version: 4, Value: value(record.Open{Owner: "own-0", Sequence: 2})}, rows.Row{}, false, 4, ""},
-		{"another owner", rows.Row{Version: 5, Value: value(record.Open{Owner: "x-0", Sequence: 3})}, rows.Row{}, false, 5, ""},
+		{"an earlier write", rows.Row{Version: 4, Value: value(record.OpenJob{Owner: "own-0", Sequence: 2})}, rows.Row{}, false, 4, ""},
+		{"another owner", rows.Row{Version: 5, Value: value(record.OpenJob{Owner: "x-0", Sequence: 3})}, rows.Row{}, false, 5, ""},
 		{"ended", rows.Row{}, ended, false, 0, verdict.Failed},
 		{"nothing", rows.Row{}, rows.Row{}, false, 0, ""},
 		{"not readable", rows.Row{Version: 5, Value: []byte("x")}, rows.Row{Version: 6, Value: []byte("x")}, false, 5, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			op := ledger.JobOp(layout, id, rows.Txn{})
+			op := jobstore.JobOp(layout, id, rows.Txn{})
 			qt.Assert(t, op.Part, qt.Equals, layout.Part(id))
 			stored := map[rows.Key]rows.Row{layout.OpenKey(id): test.open, layout.EndedKey(id): test.ended}
-			r := ledger.Result{Outcome: ledger.Conflict}
-			for _, k := range op.Look {
+			r := jobstore.Result{Outcome: jobstore.Conflict}
+			for _, k := range op.ReadOnConflict {
 				r.Found = append(r.Found, stored[k])
 			}
-			there := r.Present(logs.Discard())
-			qt.Assert(t, there.Has(written), qt.Equals, test.has)
+			there := r.Stored(logs.Discard())
+			qt.Assert(t, there.IsOpenAs(written), qt.Equals, test.has)
 			qt.Assert(t, there.Version, qt.Equals, test.version)
 			qt.Assert(t, there.Ended != nil, qt.Equals, test.state != "")
 			if there.Ended != nil {
--- a/internal/kept/ledger/lane.go
+++ b/internal/kept/jobstore/lane.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 // The platform takes at most 100 entries and 1 MB in a transaction; a row's value is sent in base64, a third longer.
 const (
-	maxEntries = 100
-	maxBytes   = 700_000
+	maxTxnEntries = 100
+	maxTxnBytes   = 700_000
 )
 
 // retryPause is the pause after a call that was refused or could not be made: a twentieth of the time in which entries must
@@ -26,22 +26,22 @@
 )
 
 // lane carries out the writes of one part, one transaction at a time.
-type lane struct {
-	ledger *Ledger
+type partWriter struct {
+	writer *Writer
 	// queue is guarded by the ledger's mu.
-	queue []*attempt
+	queue []*pendingOp
 	wake  chan struct{}
 }
 
 // attempt is a write that has not ended.
-type attempt struct {
+type pendingOp struct {
 	Op
 	// doubt is true once a try got no answer.
-	doubt bool
+	uncertain bool
 }
 
 // nudge lets the lane look at its queue.
-func (n *lane) nudge() {
+func (n *partWriter) signal() {
 	select {
 	case n.wake <- struct{}{}:
 	default:
@@ -49,14 +49,14 @@
 }
 
 // run carries out writes until the ledger stops.
-func (n *lane) run() {
+func (n *partWriter) run() {
 	for {
 		select {
-		case <-n.ledger.ctx.Done():
+		case <-n.writer.ctx.Done():
 			return
 		case <-n.wake:
 		}
-		for group := n.take(); len(group) > 0; group = n.take() {
+		for group := n.nextGroup(); len(group) > 0; group = n.nextGroup() {
 			n.commit(group)
 		}
 	}
@@ -64,23 +64,23 @@
 
 // take returns the writes that go into the next transaction. While some are in doubt, no others go with them: of those it
 // stays certain that nothing was done.
-func (n *lane) take() []*attempt {
-	n.ledger.mu.Lock()
-	defer n.ledger.mu.Unlock()
+func (n *partWriter) nextGroup() []*pendingOp {
+	n.writer.mu.Lock()
+	defer n.writer.mu.Unlock()
 	entries, bytes, count := 0, 0, 0
 	for _, a := range n.queue {
-		if count > 0 && n.queue[0].doubt && !a.doubt {
+		if count > 0 && n.queue[0].uncertain && !a.uncertain {
 			break
 		}
 		entries += len(a.Txn.If) + len(a.Txn.Put) + len(a.Txn.Remove)
 		for _, p := range a.Txn.Put {
 			bytes += len(p.Value)
 		}
-		if count > 0 && (entries > maxEntries || bytes > maxBytes || a.Once) {
+		if count > 0 && (entries > maxTxnEntries || bytes > maxTxnBytes || a.NoRetry) {
 			break
 		}
 		count++
-		if a.Once {
+		if a.NoRetry {
 			break
 		}
 	}
@@ -90,96 +90,96 @@
 }
 
 // commit tries a group of writes as one transaction.
-func (n *lane) commit(group []*attempt) {
+func (n *partWriter) commit(group []*pendingOp) {
 	var t rows.Txn
 	for _, a := range group {
 		t.If, t.Put, t.Remove = append(t.If, a.Txn.If...), append(t.Put, a.Txn.Put...), append(t.Remove, a.Txn.Remove...)
 	}
-	began, limit := boottime.Now(), n.ledger.limit()
-	ctx, cancel := context.WithTimeout(n.ledger.ctx, limit)
+	began, limit := boottime.Now(), n.writer.timeout()
+	ctx, cancel := context.WithTimeout(n.writer.ctx, limit)
 	defer cancel()
-	version, err := n.ledger.store.Commit(ctx, t)
-	n.ledger.answered(began, limit, err == nil || errors.Is(err, rows.ErrConflict))
+	version, err := n.writer.store.Commit(ctx, t)
+	n.writer.recordCall(began, limit, err == nil || errors.Is(err, rows.ErrConflict))
 	switch {
-	case n.ledger.ctx.Err() != nil:
+	case n.writer.ctx.Err() != nil:
 	case err == nil:
 		for _, a := range group {
-			n.ledger.done(Result{ID: a.ID, Outcome: Done, Version: version})
+			n.writer.onResult(Result{ID: a.ID, Outcome: Done, Version: version})
 		}
 	case errors.Is(err, rows.ErrConflict):
-		n.conflict(group)
+		n.handleConflict(group)
 	default:
-		n.failed(group, err)
+		n.handleFailure(group, err)
 	}
 }
 
 // failed handles writes of which nothing is known, or which the store refused.
-func (n *lane) failed(group []*attempt, err error) {
+func (n *partWriter) handleFailure(group []*pendingOp, err error) {
 	refused := errors.Is(err, rows.ErrRefused)
-	n.ledger.log.WithFields(logrus.Fields{"writes": len(group), "refused": refused, "error": err.Error()}).Info("job_rows_not_written")
-	var again []*attempt
+	n.writer.log.WithFields(logrus.Fields{"writes": len(group), "refused": refused, "error": err.Error()}).Info("job_rows_not_written")
+	var again []*pendingOp
 	for _, a := range group {
-		a.doubt = a.doubt || !refused
+		a.uncertain = a.uncertain || !refused
 		switch {
-		case !a.doubt && (a.Once || !a.Until.IsZero() && boottime.Now().After(a.Until)):
-			n.ledger.done(Result{ID: a.ID, Outcome: Refused})
-		case a.Once:
-			n.ledger.done(Result{ID: a.ID, Outcome: Doubtful})
+		case !a.uncertain && (a.NoRetry || !a.GiveUpAt.IsZero() && boottime.Now().After(a.GiveUpAt)):
+			n.writer.onResult(Result{ID: a.ID, Outcome: Refused})
+		case a.NoRetry:
+			n.writer.onResult(Result{ID: a.ID, Outcome: Uncertain})
 		default:
 			again = append(again, a)
 		}
 	}
-	n.expire()
+	n.expireQueued()
 	if refused {
-		n.pause(retryPause)
+		n.sleep(retryPause)
 	} else {
-		n.pause(unansweredPause)
+		n.sleep(unansweredPause)
 	}
 	n.requeue(again)
 }
 
 // requeue lets writes be tried again, before all others.
-func (n *lane) requeue(again []*attempt) {
-	n.ledger.mu.Lock()
+func (n *partWriter) requeue(again []*pendingOp) {
+	n.writer.mu.Lock()
 	n.queue = append(again, n.queue...)
-	n.ledger.mu.Unlock()
-	n.nudge()
+	n.writer.mu.Unlock()
+	n.signal()
 }
 
 // expire gives up the writes that wait and need not be begun any more.
-func (n *lane) expire() {
-	n.ledger.mu.Lock()
-	var rest, over []*attempt
+func (n *partWriter) expireQueued() {
+	n.writer.mu.Lock()
+	var rest, over []*pendingOp
 	for _, a := range n.queue {
-		if !a.doubt && !a.Until.IsZero() && boottime.Now().After(a.Until) {
+		if !a.uncertain && !a.GiveUpAt.IsZero() && boottime.Now().After(a.GiveUpAt) {
 			over = append(over, a)
 		} else {
 			rest = append(rest, a)
 		}
 	}
 	n.queue = rest
-	n.ledger.mu.Unlock()
+	n.writer.mu.Unlock()
 	for _, a := range over {
-		n.ledger.done(Result{ID: a.ID, Outcome: Refused})
+		n.writer.onResult(Result{ID: a.ID, Outcome: Refused})
 	}
 }
 
 // conflict handles a group of writes the condition of one of which does not hold. Each is looked into by itself, all at
 // once: those whose condition holds are tried again.
-func (n *lane) conflict(group []*attempt) {
+func (n *partWriter) handleConflict(group []*pendingOp) {
 	holds := make([]bool, len(group))
 	var all sync.WaitGroup
 	for i, a := range group {
-		all.Go(func() { holds[i] = len(group) > 1 && n.holds(a) })
+		all.Go(func() { holds[i] = len(group) > 1 && n.conditionsHold(a) })
 	}
 	all.Wait()
-	var again []*attempt
+	var again []*pendingOp
 	for i, a := range group {
 		if holds[i] {
 			again = append(again, a)
 			continue
 		}
-		all.Go(func() { n.tellConflict(a) })
+		all.Go(func() { n.reportConflict(a) })
 	}
 	all.Wait()
 	if len(again) == len(group) {
@@ -193,9 +193,9 @@
 }
 
 // holds tells whether a write's conditions hold.
-func (n *lane) holds(a *attempt) bool {
+func (n *partWriter) conditionsHold(a *pendingOp) bool {
 	for _, c := range a.Txn.If {
-		if n.read(c.Key).Version != c.Version {
+		if n.readRow(c.Key).Version != c.Version {
 			return false
 		}
 	}
@@ -203,31 +203,31 @@
 }
 
 // tellConflict reads what is there instead of what a write expected.
-func (n *lane) tellConflict(a *attempt) {
+func (n *partWriter) reportConflict(a *pendingOp) {
 	r := Result{ID: a.ID, Outcome: Conflict}
-	for _, k := range a.Look {
-		r.Found = append(r.Found, n.read(k))
+	for _, k := range a.ReadOnConflict {
+		r.Found = append(r.Found, n.readRow(k))
 	}
-	if n.ledger.ctx.Err() == nil {
-		n.ledger.done(r)
+	if n.writer.ctx.Err() == nil {
+		n.writer.onResult(r)
 	}
 }
 
 // read reads a row, until the store answers or the ledger stops.
-func (n *lane) read(k rows.Key) rows.Row {
-	row, err := n.ledger.store.Read(n.ledger.ctx, k)
-	for err != nil && n.ledger.ctx.Err() == nil {
-		n.ledger.log.WithField("error", err.Error()).Info("job_rows_unreadable")
-		n.pause(retryPause)
-		row, err = n.ledger.store.Read(n.ledger.ctx, k)
+func (n *partWriter) readRow(k rows.Key) rows.Row {
+	row, err := n.writer.store.Read(n.writer.ctx, k)
+	for err != nil && n.writer.ctx.Err() == nil {
+		n.writer.log.WithField("error", err.Error()).Info("job_rows_unreadable")
+		n.sleep(retryPause)
+		row, err = n.writer.store.Read(n.writer.ctx, k)
 	}
 	return row
 }
 
 // pause waits between two attempts.
-func (n *lane) pause(d time.Duration) {
+func (n *partWriter) sleep(d time.Duration) {
 	select {
-	case <-n.ledger.ctx.Done():
+	case <-n.writer.ctx.Done():
 	case <-time.After(d):
 	}
 }
--- a/internal/kept/ledger/ledger_test.go
+++ b/internal/kept/jobstore/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package jobstore_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"hillreel/internal/core/logs"
 	"hillreel/internal/core/rows"
-	"hillreel/internal/kept/ledger"
+	"hillreel/internal/kept/jobstore"
 )
 
 // fake is a store that does as the test says.
@@ -23,12 +23,12 @@
 	version rows.Version
 	txns    []rows.Txn
 	// gate holds transactions back while it is locked.
-	gate sync.Mutex
+	commitGate sync.Mutex
 }
 
 func (f *fake) Commit(_ context.Context, t rows.Txn) (rows.Version, error) {
-	f.gate.Lock()
-	defer f.gate.Unlock()
+	f.commitGate.Lock()
+	defer f.commitGate.Unlock()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.txns = append(f.txns, t)
@@ -54,9 +54,9 @@
 	return out
 }
 
-func op(id int) ledger.Op {
-	return ledger.Op{
-		ID: ledger.OpID(id), Part: "p", Look: []rows.Key{{Table: "t", Name: "n"}},
+func op(id int) jobstore.Op {
+	return jobstore.Op{
+		ID: jobstore.OpID(id), Part: "p", ReadOnConflict: []rows.Key{{Table: "t", Name: "n"}},
 		Txn: rows.Txn{
 			If:  []rows.Condition{{Key: rows.Key{Table: "conditions", Part: "p", Name: fmt.Sprint(id)}}},
 			Put: []rows.Row{{Key: rows.Key{Table: "t", Part: "p", Name: fmt.Sprint(id)}}},
@@ -64,36 +64,36 @@
 	}
 }
 
-func start(t *testing.T, answer func(rows.Txn) error) (*fake, *ledger.Ledger, chan ledger.Result) {
+func start(t *testing.T, answer func(rows.Txn) error) (*fake, *jobstore.Writer, chan jobstore.Result) {
 	f := &fake{answer: answer}
-	results := make(chan ledger.Result, 100)
-	l := ledger.New(f, func(r ledger.Result) { results <- r }, logs.Discard())
+	results := make(chan jobstore.Result, 100)
+	l := jobstore.New(f, func(r jobstore.Result) { results <- r }, logs.Discard())
 	t.Cleanup(l.Stop)
 	return f, l, results
 }
 
-func wait(t *testing.T, results chan ledger.Result) ledger.Result {
+func wait(t *testing.T, results chan jobstore.Result) jobstore.Result {
 	select {
 	case r := <-results:
 		return r
 	case <-time.After(5 * time.Second):
 		t.Fatal("no result")
-		return ledger.Result{}
+		return jobstore.Result{}
 	}
 }
 
 // TestGrouping: writes that gather while one is under way go out together.
-func TestGrouping(t *testing.T) {
+func TestWritesAreGrouped(t *testing.T) {
 	f, l, results := start(t, func(rows.Txn) error { return nil })
-	f.gate.Lock()
+	f.commitGate.Lock()
 	l.Write(op(1))
 	time.Sleep(50 * time.Millisecond)
 	for i := 2; i <= 6; i++ {
 		l.Write(op(i))
 	}
-	f.gate.Unlock()
+	f.commitGate.Unlock()
 	for range 6 {
-		qt.Assert(t, wait(t, results).Outcome, qt.Equals, ledger.Done)
+		qt.Assert(t, wait(t, results).Outcome, qt.Equals, jobstore.Done)
 	}
 	qt.Assert(t, f.sizes(), qt.DeepEquals, []int{1, 5})
 }
@@ -101,11 +101,11 @@
 // TestGroupsAreBounded: the platform takes no more than 100 entries in a transaction.
 func TestGroupsAreBounded(t *testing.T) {
 	f, l, results := start(t, func(rows.Txn) error { return nil })
-	f.gate.Lock()
+	f.commitGate.Lock()
 	for i := range 300 {
 		l.Write(op(i))
 	}
-	f.gate.Unlock()
+	f.commitGate.Unlock()
 	for range 300 {
 		wait(t, results)
 	}
@@ -124,16 +124,16 @@
 		}
 		return nil
 	})
-	f.gate.Lock()
+	f.commitGate.Lock()
 	for i := 1; i <= 4; i++ {
 		l.Write(op(i))
 	}
-	f.gate.Unlock()
+	f.commitGate.Unlock()
 	for range 4 {
 		r := wait(t, results)
-		want := ledger.Done
+		want := jobstore.Done
 		if r.ID == 3 {
-			want = ledger.Conflict
+			want = jobstore.Conflict
 			qt.Assert(t, r.Found[0].Version, qt.Equals, rows.Version(77))
 		}
 		qt.Assert(t, r.Outcome, qt.Equals, want)
@@ -143,21 +143,21 @@
 // TestDoubt: what becomes of a write that got no answer, was refused, or was never tried.
 func TestDoubt(t *testing.T) {
 	silent := errors.New("no answer")
-	soon := func(o ledger.Op) ledger.Op { o.Until = time.Now().Add(150 * time.Millisecond); return o }
-	once := func(o ledger.Op) ledger.Op { o.Once = true; return o }
+	soon := func(o jobstore.Op) jobstore.Op { o.GiveUpAt = time.Now().Add(150 * time.Millisecond); return o }
+	once := func(o jobstore.Op) jobstore.Op { o.NoRetry = true; return o }
 	for _, test := range []struct {
 		name string
-		op   ledger.Op
+		op   jobstore.Op
 		// answers are those to the first tries; later ones succeed.
 		answers []error
-		want    ledger.Outcome
+		want    jobstore.Outcome
 	}{
-		{"refused for a while", op(1), []error{rows.ErrRefused, rows.ErrRefused}, ledger.Done},
-		{"refused until it is given up", soon(op(1)), []error{rows.ErrRefused, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, ledger.Refused},
-		{"in doubt, and then refused until it would be given up", soon(op(1)), []error{silent, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, ledger.Done},
-		{"in doubt, and it was done", op(1), []error{silent, rows.ErrConflict}, ledger.Conflict},
-		{"tried once, refused", once(op(1)), []error{rows.ErrRefused}, ledger.Refused},
-		{"tried once, in doubt", once(op(1)), []error{silent}, ledger.Doubtful},
+		{"refused for a while", op(1), []error{rows.ErrRefused, rows.ErrRefused}, jobstore.Done},
+		{"refused until it is given up", soon(op(1)), []error{rows.ErrRefused, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, jobstore.Refused},
+		{"in doubt, and then refused until it would be given up", soon(op(1)), []error{silent, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, jobstore.Done},
+		{"in doubt, and it was done", op(1), []error{silent, rows.ErrConflict}, jobstore.Conflict},
+		{"tried once, refused", once(op(1)), []error{rows.ErrRefused}, jobstore.Refused},
+		{"tried once, in doubt", once(op(1)), []error{silent}, jobstore.Uncertain},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			left := test.answers
@@ -182,15 +182,15 @@
 	l.Write(op(1))
 	time.Sleep(50 * time.Millisecond)
 	o := op(2)
-	o.Until = time.Now().Add(200 * time.Millisecond)
+	o.GiveUpAt = time.Now().Add(200 * time.Millisecond)
 	l.Write(o)
 	r := wait(t, results)
-	qt.Assert(t, r.ID, qt.Equals, ledger.OpID(2))
-	qt.Assert(t, r.Outcome, qt.Equals, ledger.Refused)
+	qt.Assert(t, r.ID, qt.Equals, jobstore.OpID(2))
+	qt.Assert(t, r.Outcome, qt.Equals, jobstore.Refused)
 	for _, n := range f.sizes() {
 		qt.Assert(t, n, qt.Equals, 1)
 	}
-	qt.Assert(t, l.Away(), qt.IsFalse)
+	qt.Assert(t, l.Unavailable(), qt.IsFalse)
 	time.Sleep(time.Second)
-	qt.Assert(t, l.Away(), qt.IsTrue)
+	qt.Assert(t, l.Unavailable(), qt.IsTrue)
 }
--- a/internal/kept/ledger/read.go
+++ b/internal/kept/jobstore/read.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	store  Store
 	layout record.Layout
 	// keep is how long the state of an ended job can be asked for.
-	keep time.Duration
+	retention time.Duration
 }
 
 // NewReader returns a Reader.
@@ -30,7 +30,7 @@
 
 // Scan reads all open jobs, and then the leases, so that no lease is missing whose job is there.
 func (r *Reader) Scan(ctx context.Context) (open []rows.Row, leases rows.Page, err error) {
-	for _, part := range r.layout.All() {
+	for _, part := range r.layout.AllParts() {
 		page, err := r.store.Range(ctx, record.OpenRows(part))
 		if err != nil {
 			return nil, leases, err
@@ -55,7 +55,7 @@
 }
 
 // Look reads the rows of an open and of an ended job; one that is not there has version zero.
-func (r *Reader) Look(ctx context.Context, id job.ID) (open, ended rows.Row, err error) {
+func (r *Reader) LookUp(ctx context.Context, id job.ID) (open, ended rows.Row, err error) {
 	// The open row goes in the transaction that writes the other, so it is read first.
 	if open, err = r.store.Read(ctx, r.layout.OpenKey(id)); err != nil {
 		return open, ended, err
@@ -66,7 +66,7 @@
 
 // State reads a job's state; verdict.Unknown when there is no such job.
 func (r *Reader) State(ctx context.Context, id job.ID) (verdict.State, error) {
-	open, row, err := r.Look(ctx, id)
+	open, row, err := r.LookUp(ctx, id)
 	switch {
 	case err != nil:
 		return "", err
@@ -75,13 +75,13 @@
 	case row.Version == 0:
 		return verdict.Unknown, nil
 	}
-	ended, err := record.Read[record.Ended](row)
+	ended, err := record.Decode[record.EndedJob](row)
 	return ended.State, err
 }
 
 // openState is the state of a job that has not ended.
 func openState(row rows.Row) (verdict.State, error) {
-	open, err := record.Read[record.Open](row)
+	open, err := record.Decode[record.OpenJob](row)
 	if err != nil {
 		return "", err
 	}
@@ -92,12 +92,12 @@
 }
 
 // maxRaces bounds how often a cancellation is tried again because the job's owner wrote meanwhile.
-const maxRaces = 20
+const maxCancelTries = 20
 
 // Cancel ends a job that another entry owns, and returns the state in which it has ended; verdict.Unknown when there is
 // no such job. The owner hears of it by the table of cancellations.
 func (r *Reader) Cancel(ctx context.Context, id job.ID) (verdict.State, error) {
-	for range maxRaces {
+	for range maxCancelTries {
 		open, err := r.store.Read(ctx, r.layout.OpenKey(id))
 		if err != nil {
 			return "", err
@@ -105,7 +105,7 @@
 		if open.Version == 0 {
 			return r.State(ctx, id)
 		}
-		t, err := r.cancel(ctx, id, open)
+		t, err := r.cancelTxn(ctx, id, open)
 		if err != nil {
 			return "", err
 		}
@@ -117,16 +117,16 @@
 			return "", errors.Wrap(ctx.Err(), "ledger: cancel")
 		}
 	}
-	return "", errors.Errorf("ledger: cancel: lost %d races", maxRaces)
+	return "", errors.Errorf("ledger: cancel: lost %d races", maxCancelTries)
 }
 
 // cancel returns the transaction that ends a job.
-func (r *Reader) cancel(ctx context.Context, id job.ID, open rows.Row) (rows.Txn, error) {
+func (r *Reader) cancelTxn(ctx context.Context, id job.ID, open rows.Row) (rows.Txn, error) {
 	page, err := r.Leases(ctx) // for the store's clock
 	if err != nil {
 		return rows.Txn{}, err
 	}
-	t, err := EndTxn(r.layout, id, open.Version, record.Ended{State: verdict.Cancelled}, page.Now+r.keep)
+	t, err := EndTxn(r.layout, id, open.Version, record.EndedJob{State: verdict.Cancelled}, page.Now+r.retention)
 	if err != nil {
 		return rows.Txn{}, err
 	}
@@ -135,8 +135,8 @@
 }
 
 // EndTxn returns the transaction that ends an open job; its rows may be forgotten from expires on, by the store's clock.
-func EndTxn(l record.Layout, id job.ID, open rows.Version, e record.Ended, expires time.Duration) (rows.Txn, error) {
-	value, err := record.Value(e)
+func EndTxn(l record.Layout, id job.ID, open rows.Version, e record.EndedJob, expires time.Duration) (rows.Txn, error) {
+	value, err := record.Encode(e)
 	if err != nil {
 		return rows.Txn{}, err
 	}
@@ -148,10 +148,10 @@
 }
 
 // sweepAtOnce is how many jobs are forgotten in one transaction: four rows each, of the 100 entries it may have.
-const sweepAtOnce = 25
+const sweepBatch = 25
 
 // sweepMost bounds the transactions of one sweep: half of a part's share of two seconds.
-const sweepMost = 200
+const maxSweepBatches = 200
 
 // Sweep removes the rows of the jobs of a part that may be forgotten, and returns how many.
 func (r *Reader) Sweep(ctx context.Context, part string) (count int, err error) {
@@ -160,15 +160,15 @@
 		return 0, err
 	}
 	due := record.ExpiredRows(part, page.Now)
-	due.Limit = sweepAtOnce
-	for range sweepMost {
+	due.Limit = sweepBatch
+	for range maxSweepBatches {
 		expired, err := r.store.Range(ctx, due)
 		if err != nil || len(expired.Rows) == 0 {
 			return count, err
 		}
 		var t rows.Txn
 		for _, row := range expired.Rows {
-			t.Remove = append(t.Remove, r.layout.Forget(row.Key)...)
+			t.Remove = append(t.Remove, r.layout.ExpiredJobKeys(row.Key)...)
 		}
 		if _, err := r.store.Commit(ctx, t); err != nil {
 			return count, err
--- a/internal/kept/book/adopt.go
+++ b/internal/kept/owner/adopt.go
@@ -1,4 +1,4 @@
-package book
+package owner
 
 import (
 	"time"
@@ -10,48 +10,48 @@
 	"hillreel/internal/core/rows"
 	"hillreel/internal/core/verdict"
 	"hillreel/internal/kept/claims"
-	"hillreel/internal/kept/ledger"
+	"hillreel/internal/kept/jobstore"
 	"hillreel/internal/kept/record"
 )
 
 // Scanned handles the open jobs, and the leases as they were read after them.
-func (b *Book) Scanned(now time.Time, open []rows.Row, leases rows.Page, err error) {
+func (b *Owner) HandleScan(now time.Time, open []rows.Row, leases rows.Page, err error) {
 	if err != nil || !b.lease.Held(now) {
-		b.claims.ScanFailed(now)
+		b.claims.HandleScanFailed(now)
 		return
 	}
 	unowned := make(map[job.ID]*keptJob)
 	var jobs []claims.Job
 	for _, row := range open {
-		if k := b.unowned(row); k != nil {
+		if k := b.readUnowned(row); k != nil {
 			unowned[k.id] = k
 			jobs = append(jobs, claims.Job{ID: k.id, Owner: k.open.Owner})
 		}
 	}
-	ids := b.claims.Scanned(jobs, leases.Rows)
+	ids := b.claims.HandleScan(jobs, leases.Rows)
 	for _, id := range ids {
 		b.jobs[id] = unowned[id]
 	}
 	if len(ids) > 0 {
 		b.store.Fetch(ids)
 	}
-	b.claims.End()
+	b.claims.RemoveFinished()
 }
 
 // unowned reads the row of an open job; nil is a job that this entry holds, or a row that can't be read.
-func (b *Book) unowned(row rows.Row) *keptJob {
-	id, err := record.JobOf(row.Key)
-	b.unreadable(err)
-	o, err2 := record.Read[record.Open](row)
-	b.unreadable(err2)
+func (b *Owner) readUnowned(row rows.Row) *keptJob {
+	id, err := record.ParseJobID(row.Key)
+	b.logUnreadable(err)
+	o, err2 := record.Decode[record.OpenJob](row)
+	b.logUnreadable(err2)
 	if err != nil || err2 != nil || o.Owner == b.lease.ID() || b.jobs[id] != nil {
 		return nil
 	}
-	return &keptJob{id: id, phase: adopting, open: o, version: row.Version}
+	return &keptJob{id: id, phase: takingOver, open: o, version: row.Version}
 }
 
 // Fetched handles what jobs that are being taken over were submitted with.
-func (b *Book) Fetched(now time.Time, ids []job.ID, found []rows.Row, err error) {
+func (b *Owner) HandleFetch(now time.Time, ids []job.ID, found []rows.Row, err error) {
 	if err != nil {
 		if b.lease.Held(now) {
 			b.store.Fetch(ids)
@@ -61,13 +61,13 @@
 	var batch []*keptJob
 	for i, id := range ids {
 		k := b.jobs[id]
-		if k == nil || k.phase != adopting {
+		if k == nil || k.phase != takingOver {
 			continue
 		}
-		k.record, err = record.Read[record.Job](found[i])
+		k.record, err = record.Decode[record.Job](found[i])
 		if err != nil {
-			b.unreadable(err)
-			b.forget(k)
+			b.logUnreadable(err)
+			b.remove(k)
 			continue
 		}
 		batch = append(batch, k)
@@ -76,53 +76,53 @@
 }
 
 // takeOver makes this entry the owner of some jobs, and then asks agents about those that it got.
-func (b *Book) takeOver(now time.Time, batch []*keptJob) {
+func (b *Owner) takeOver(now time.Time, batch []*keptJob) {
 	left := len(batch)
 	var got []*keptJob
 	for _, k := range batch {
 		next := k.open
 		next.Owner, next.Generation, next.Sequence = b.lease.ID(), k.open.Generation+1, k.open.Sequence+1
-		b.write(b.progressOp(k, next), func(now time.Time, r ledger.Result) {
+		b.startWrite(b.progressOp(k, next), func(now time.Time, r jobstore.Result) {
 			left--
-			if b.handleTaken(k, next, r) {
+			if b.handleTakeOverWritten(k, next, r) {
 				got = append(got, k)
 			}
 			if left == 0 {
-				b.ask(now, got)
-				b.claims.End()
+				b.askForEnds(now, got)
+				b.claims.RemoveFinished()
 			}
 		})
 	}
 }
 
 // handleTaken handles the end of the write that takes a job over, and tells whether this entry owns it now.
-func (b *Book) handleTaken(k *keptJob, next record.Open, r ledger.Result) bool {
+func (b *Owner) handleTakeOverWritten(k *keptJob, next record.OpenJob, r jobstore.Result) bool {
 	if b.jobs[k.id] != k {
 		return false
 	}
 	version := r.Version
-	if r.Outcome != ledger.Done {
-		there := r.Present(b.opts.Log)
-		if !there.Has(next) {
-			b.forget(k)
+	if r.Outcome != jobstore.Done {
+		there := r.Stored(b.opts.Log)
+		if !there.IsOpenAs(next) {
+			b.remove(k)
 			return false
 		}
 		version = there.Version
 	}
 	k.open, k.version = next, version
-	b.claims.Taken(k.id)
-	b.event(logrus.InfoLevel, "job_taken_over", logrus.Fields{"job": k.id, "generation": next.Generation, "ends": len(next.Ends)})
+	b.claims.RemoveJob(k.id)
+	b.logEvent(logrus.InfoLevel, "job_taken_over", logrus.Fields{"job": k.id, "generation": next.Generation, "ends": len(next.Ends)})
 	return true
 }
 
 // forget forgets a job: it has ended, or it is another entry's.
-func (b *Book) forget(k *keptJob) {
+func (b *Owner) remove(k *keptJob) {
 	delete(b.jobs, k.id)
-	b.claims.Taken(k.id)
+	b.claims.RemoveJob(k.id)
 }
 
 // ask asks all agents for ends of jobs that were taken over, and then goes on with them.
-func (b *Book) ask(now time.Time, jobs []*keptJob) {
+func (b *Owner) askForEnds(now time.Time, jobs []*keptJob) {
 	if len(jobs) == 0 {
 		return
 	}
@@ -138,21 +138,23 @@
 }
 
 // Asked handles an agent's word that it has told all ends that a question is about.
-func (b *Book) Asked(now time.Time, agent ident.Incarnation, number uint64) {
-	b.inquiry.Answered(now, agent, number)
+func (b *Owner) HandleEndsReported(now time.Time, agent ident.Incarnation, number uint64) {
+	b.inquiry.HandleAnswer(now, agent, number)
 }
 
 // AgentLost handles an agent that is out of hearing.
-func (b *Book) AgentLost(now time.Time, agent ident.Incarnation) { b.inquiry.AgentLost(now, agent) }
+func (b *Owner) HandleAgentLost(now time.Time, agent ident.Incarnation) {
+	b.inquiry.HandleAgentLost(now, agent)
+}
 
 // resume goes on with a job that was taken over, unless it was let go meanwhile.
-func (b *Book) resume(now time.Time, k *keptJob) {
+func (b *Owner) resume(now time.Time, k *keptJob) {
 	switch {
-	case b.jobs[k.id] != k || k.phase != adopting:
-	case len(k.cancels) > 0:
+	case b.jobs[k.id] != k || k.phase != takingOver:
+	case len(k.cancellers) > 0:
 		k.phase = running
-		b.end(now, k, verdict.Cancelled)
+		b.endJob(now, k, verdict.Cancelled)
 	default:
-		b.run(now, k)
+		b.submitToTable(now, k)
 	}
 }
--- a/internal/kept/book/book.go
+++ b/internal/kept/owner/book.go
@@ -4,7 +4,7 @@
 // A job is accepted once the store has its rows. Its owner acts for it while its own lease lives; when the lease has
 // ended, another entry takes the job over by a conditional write, asks all agents for ends that nobody has stored, and
 // goes on from there. Ends are stored before upstreams may forget them, and before callers hear of them.
-package book
+package owner
 
 import (
 	"cmp"
@@ -21,24 +21,24 @@
 	"hillreel/internal/core/rule"
 	"hillreel/internal/core/verdict"
 	"hillreel/internal/entry/dispatch"
+	"hillreel/internal/kept/acks"
 	"hillreel/internal/kept/claims"
 	"hillreel/internal/kept/inquiry"
-	"hillreel/internal/kept/ledger"
-	"hillreel/internal/kept/notes"
+	"hillreel/internal/kept/jobstore"
+	"hillreel/internal/kept/lease"
 	"hillreel/internal/kept/recent"
 	"hillreel/internal/kept/record"
-	"hillreel/internal/kept/tenure"
 )
 
 // Store carries out writes and readings; each is answered later by Written, LeasesRead, Scanned, Fetched or Looked.
 type Store interface {
 	// Away tells whether the store has not answered for a while; what is written then is in doubt for long.
-	Away() bool
-	Write(op ledger.Op)
+	Unavailable() bool
+	Write(op jobstore.Op)
 	ReadLeases()
 	Scan()
 	Fetch(ids []job.ID)
-	Look(id job.ID)
+	LookUp(id job.ID)
 }
 
 // Table runs jobs.
@@ -53,7 +53,7 @@
 // Agents sends to agents.
 type Agents interface {
 	inquiry.Agents
-	notes.Agents
+	acks.Agents
 }
 
 // Options are the settings of a Book.
@@ -63,13 +63,13 @@
 	Incarnation ident.Incarnation
 	Layout      record.Layout
 	// Lease is how long the entry's lease lasts, Renew the pause between renewals.
-	Lease, Renew time.Duration
+	LeaseDuration, RenewInterval time.Duration
 	// MaxRow bounds the value of a row, in bytes.
 	MaxRow int
 	// Keep is how long the state of a job that has ended can be asked for.
-	Keep time.Duration
+	Retention time.Duration
 	// Settle is how long after an entry has stopped acting nothing of it runs any more.
-	Settle time.Duration
+	SettleTime time.Duration
 	// Without leaves out safety rules, for experiments only.
 	Without rule.Set
 	// Count counts an event, for metrics.
@@ -78,21 +78,21 @@
 }
 
 // Book holds the kept jobs of one entry.
-type Book struct {
+type Owner struct {
 	opts    Options
 	store   Store
 	table   Table
 	callers dispatch.Callers
 
-	jobs  map[job.ID]*keptJob
-	ended *recent.Jobs
+	jobs      map[job.ID]*keptJob
+	endedJobs *recent.Jobs
 	// notes tells agents which ends are stored.
-	notes *notes.Notes
+	acks *acks.Sender
 	// ops are the writes under way, by id.
-	ops    map[ledger.OpID]func(now time.Time, r ledger.Result)
-	lastOp ledger.OpID
+	pendingWrites map[jobstore.OpID]func(now time.Time, r jobstore.Result)
+	lastWrite     jobstore.OpID
 
-	lease *tenure.Tenure
+	lease *lease.Lease
 	// claims are of other entries' leases that have ended.
 	claims *claims.Claims
 	// inquiry asks agents for ends of jobs that were taken over.
@@ -104,11 +104,11 @@
 
 const (
 	// asked: it waits for the entry's lease.
-	asked phase = "asked"
+	awaitingLease phase = "asked"
 	// accepting: its rows are being written.
 	accepting phase = "accepting"
 	// adopting: it is being taken over from another entry.
-	adopting phase = "adopting"
+	takingOver phase = "adopting"
 	// running: it is in the table.
 	running phase = "running"
 )
@@ -118,101 +118,101 @@
 	id     job.ID
 	record record.Job
 	// row is record as it is written, until that has begun.
-	row []byte
+	encodedRecord []byte
 	// sender is its caller's own id of the request, for the log; it is not stored.
 	sender string
 	phase  phase
 	// callers wait for its acceptance until giveUp, cancels for its end; watchers want to know its state, at the latest at
 	// their deadlines.
-	callers  waiters
-	giveUp   time.Time
-	cancels  waiters
-	watchers waiters
+	callers        waiters
+	acceptDeadline time.Time
+	cancellers     waiters
+	watchers       waiters
 
 	// open is the row as it is to be written next, version that of the row in the store.
-	open    record.Open
+	open    record.OpenJob
 	version rows.Version
 	// writing is true while a write of the job is under way.
 	writing bool
 	// unstored are ends that the next write stores, storing those of the write under way. dirtySince is when the oldest
 	// of unstored came.
-	unstored, storing []notes.End
-	dirtySince        time.Time
+	unstoredEnds, endsInWrite []acks.End
+	unstoredSince             time.Time
 	// lost are tasks whose last run was given up, and which are placed again once the next write has said so; losing are
 	// those of the write under way.
-	lost, losing []job.TaskID
+	lostTasks, lostTasksInWrite []job.TaskID
 	// renew is true for a job that begins a new generation under this same entry with the next write.
-	renew bool
+	newGeneration bool
 	// final is empty until the job has ended.
-	final verdict.State
+	finalState verdict.State
 }
 
 // New returns an empty Book.
-func New(o Options, s Store, t Table, a Agents, c dispatch.Callers, now time.Time) *Book {
-	b := &Book{
-		opts: o, store: s, table: t, callers: c, jobs: make(map[job.ID]*keptJob), ended: recent.New(),
-		ops:   make(map[ledger.OpID]func(time.Time, ledger.Result)),
-		notes: notes.New(a, s, o.Log), inquiry: inquiry.New(a, o.Settle, o.Without),
+func New(o Options, s Store, t Table, a Agents, c dispatch.Callers, now time.Time) *Owner {
+	b := &Owner{
+		opts: o, store: s, table: t, callers: c, jobs: make(map[job.ID]*keptJob), endedJobs: recent.New(),
+		pendingWrites: make(map[jobstore.OpID]func(time.Time, jobstore.Result)),
+		acks:          acks.New(a, s, o.Log), inquiry: inquiry.New(a, o.SettleTime, o.Without),
 	}
-	b.lease = tenure.New(tenure.Options{
-		Node: o.Node, Incarnation: o.Incarnation, Length: o.Lease, Renew: o.Renew, Without: o.Without, Log: o.Log,
-	}, leaseOwner{b}, now)
+	b.lease = lease.New(lease.Options{
+		Node: o.Node, Incarnation: o.Incarnation, Duration: o.LeaseDuration, RenewInterval: o.RenewInterval, Without: o.Without, Log: o.Log,
+	}, leaseCallbacks{b}, now)
 	b.claims = claims.New(claims.Options{
-		Node: o.Node, Length: o.Lease, Settle: o.Settle, Event: b.event, Log: o.Log,
-	}, b.lease, leaseOwner{b})
+		Node: o.Node, LeaseDuration: o.LeaseDuration, SettleTime: o.SettleTime, LogEvent: b.logEvent, Log: o.Log,
+	}, b.lease, leaseCallbacks{b})
 	return b
 }
 
 // Jobs returns how many jobs are held.
-func (b *Book) Jobs() int { return len(b.jobs) }
+func (b *Owner) Len() int { return len(b.jobs) }
 
 // write begins a write; then is called with what came of it.
-func (b *Book) write(op ledger.Op, then func(now time.Time, r ledger.Result)) {
-	b.lastOp++
-	op.ID = b.lastOp
-	b.ops[op.ID] = then
+func (b *Owner) startWrite(op jobstore.Op, then func(now time.Time, r jobstore.Result)) {
+	b.lastWrite++
+	op.ID = b.lastWrite
+	b.pendingWrites[op.ID] = then
 	b.store.Write(op)
 }
 
 // Written handles the end of a write.
-func (b *Book) Written(now time.Time, r ledger.Result) {
-	then := b.ops[r.ID]
-	delete(b.ops, r.ID)
+func (b *Owner) HandleWriteResult(now time.Time, r jobstore.Result) {
+	then := b.pendingWrites[r.ID]
+	delete(b.pendingWrites, r.ID)
 	if then != nil {
 		then(now, r)
 	}
 }
 
 // value encodes a row's value.
-func (b *Book) value(v any) []byte { return record.LoggedValue(b.opts.Log, v) }
+func (b *Owner) encode(v any) []byte { return record.EncodeLogged(b.opts.Log, v) }
 
 // event logs and counts an event.
-func (b *Book) event(level logrus.Level, name string, f logrus.Fields) {
+func (b *Owner) logEvent(level logrus.Level, name string, f logrus.Fields) {
 	b.opts.Count(name)
 	b.opts.Log.WithFields(f).Log(level, name)
 }
 
 // sorted lists the jobs in the order of their ids, so that runs repeat.
-func (b *Book) sorted() []*keptJob {
+func (b *Owner) sortedJobs() []*keptJob {
 	return slices.SortedFunc(maps.Values(b.jobs), func(x, y *keptJob) int { return cmp.Compare(x.id, y.id) })
 }
 
 // Tick does what time alone brings about.
-func (b *Book) Tick(now time.Time) {
-	b.lease.Tick(now, len(b.jobs) > 0 || b.claims.Any())
-	for _, k := range b.sorted() {
+func (b *Owner) Tick(now time.Time) {
+	b.lease.Tick(now, len(b.jobs) > 0 || b.claims.HasClaims())
+	for _, k := range b.sortedJobs() {
 		switch k.phase {
-		case asked, accepting:
-			b.giveUp(now, k)
+		case awaitingLease, accepting:
+			b.expireCallers(now, k)
 		case running:
 			b.storeProgress(now, k)
 		}
-		b.tellWatchers(now, k)
+		b.answerDueWatchers(now, k)
 	}
 	b.inquiry.Tick(now)
-	b.claims.End()
+	b.claims.RemoveFinished()
 }
 
 // NotBegun counts a queue's jobs that have not begun at other entries, as they said last. This entry's own are counted
 // by its table.
-func (b *Book) NotBegun(r route.Name) int { return b.claims.NotBegun(r) }
+func (b *Owner) NotBegun(r route.Name) int { return b.claims.NotBegun(r) }
--- a/internal/kept/book/waiters.go
+++ b/internal/kept/owner/waiters.go
@@ -1,4 +1,4 @@
-package book
+package owner
 
 import (
 	"slices"
@@ -21,12 +21,12 @@
 func (w *waiters) add(c dispatch.CallerID, deadline time.Time) { *w = append(*w, waiter{c, deadline}) }
 
 // leave lets a caller go that waits no longer.
-func (w *waiters) leave(c dispatch.CallerID) {
+func (w *waiters) remove(c dispatch.CallerID) {
 	*w = slices.DeleteFunc(*w, func(one waiter) bool { return one.caller == c })
 }
 
 // answer answers all.
-func (w *waiters) answer(to dispatch.Callers, a dispatch.Answer) {
+func (w *waiters) answerAll(to dispatch.Callers, a dispatch.Answer) {
 	for _, one := range *w {
 		to.Answer(one.caller, a)
 	}
--- a/internal/kept/recent/recent.go
+++ b/internal/kept/recent/recent.go
@@ -13,7 +13,7 @@
 const (
 	// keepFor is how long an ended job is remembered; callers ask for it soon after its end, and then the store is
 	// asked. Ends of its runs may come late for as long as agents withhold them.
-	keepFor = 60 * time.Second
+	retention = 60 * time.Second
 	// maxJobs bounds them: 300 bytes each.
 	maxJobs = 20_000
 )
@@ -22,14 +22,14 @@
 type Jobs struct {
 	byID map[job.ID]*endedJob
 	// order lists them from the oldest on.
-	order []*endedJob
+	oldestFirst []*endedJob
 }
 
 // endedJob is a job that has ended.
 type endedJob struct {
-	id    job.ID
-	at    time.Time
-	state verdict.State
+	id      job.ID
+	endedAt time.Time
+	state   verdict.State
 	// ends are those that were counted in its progress.
 	ends record.Ends
 }
@@ -39,15 +39,15 @@
 
 // Add remembers a job with the ends that were counted, and forgets old ones.
 func (r *Jobs) Add(now time.Time, id job.ID, s verdict.State, ends record.Ends) {
-	e := &endedJob{id: id, at: now, state: s, ends: ends}
+	e := &endedJob{id: id, endedAt: now, state: s, ends: ends}
 	r.byID[id] = e
-	r.order = append(r.order, e)
-	for len(r.order) > maxJobs || now.Sub(r.order[0].at) > keepFor {
-		oldest := r.order[0]
+	r.oldestFirst = append(r.oldestFirst, e)
+	for len(r.oldestFirst) > maxJobs || now.Sub(r.oldestFirst[0].endedAt) > retention {
+		oldest := r.oldestFirst[0]
 		if r.byID[oldest.id] == oldest {
 			delete(r.byID, oldest.id)
 		}
-		r.order = r.order[1:]
+		r.oldestFirst = r.oldestFirst[1:]
 	}
 }
 
@@ -66,5 +66,5 @@
 // Counted tells whether the end of a run was counted in its job's progress.
 func (r *Jobs) Counted(run fleet.RunRef) bool {
 	e := r.byID[run.Task.Job]
-	return e != nil && e.ends.Counted(run.Task.Step, run.Task.Index, run.Run)
+	return e != nil && e.ends.Contains(run.Task.Step, run.Task.Index, run.Run)
 }
--- a/internal/kept/record/crash.go
+++ b/internal/kept/record/crash.go
@@ -10,15 +10,15 @@
 const maxCrashes = 64
 
 // AddCrash adds a crash to a job's progress.
-func (o *Open) AddCrash(c fleet.Crash) {
+func (o *OpenJob) AddCrash(c fleet.Crash) {
 	if len(o.Crashes) >= maxCrashes {
 		o.Crashes = o.Crashes[1:]
 	}
-	o.Crashes = append(o.Crashes[:len(o.Crashes):len(o.Crashes)], crash.RowOf(c))
+	o.Crashes = append(o.Crashes[:len(o.Crashes):len(o.Crashes)], crash.NewRow(c))
 }
 
 // DropCrashes forgets the crashes of a life that was not lost after all.
-func (o *Open) DropCrashes(r fleet.Refutation) {
+func (o *OpenJob) DropCrashes(r fleet.Refutation) {
 	var rest []crash.Row
 	for _, c := range o.Crashes {
 		if c.ID != r.Life.ID || c.Born != r.Life.Born || c.Loss > r.UpTo {
@@ -29,10 +29,10 @@
 }
 
 // CrashesOf lists the crashes under the tasks of a job.
-func (o *Open) CrashesOf(id job.ID) []fleet.Crash {
+func (o *OpenJob) CrashesOf(id job.ID) []fleet.Crash {
 	var out []fleet.Crash
 	for _, c := range o.Crashes {
-		out = append(out, c.Of(id))
+		out = append(out, c.Crash(id))
 	}
 	return out
 }
--- a/internal/kept/record/ends.go
+++ b/internal/kept/record/ends.go
@@ -16,14 +16,14 @@
 type Ends []End
 
 // Counted tells whether the end of a run is in the list.
-func (e Ends) Counted(step, index uint32, run job.Run) bool {
+func (e Ends) Contains(step, index uint32, run job.Run) bool {
 	return slices.ContainsFunc(e, func(end End) bool {
 		return end.Step == step && end.Index == index && end.Run == run
 	})
 }
 
 // failedMark follows a run that has failed.
-const failedMark = "f"
+const failedSuffix = "f"
 
 // MarshalJSON writes the list.
 func (e Ends) MarshalJSON() ([]byte, error) {
@@ -34,14 +34,14 @@
 		}
 		b.WriteString(strconv.Itoa(int(end.Step)) + "." + strconv.Itoa(int(end.Index)) + "." + strconv.Itoa(int(end.Run)))
 		if end.Failed {
-			b.WriteString(failedMark)
+			b.WriteString(failedSuffix)
 		}
 	}
 	return json.Marshal(b.String())
 }
 
 // endParts is how many numbers an end has.
-const endParts = 3
+const endNumbers = 3
 
 // UnmarshalJSON reads the list.
 func (e *Ends) UnmarshalJSON(raw []byte) error {
@@ -51,12 +51,12 @@
 	}
 	*e = nil
 	for _, field := range strings.Fields(text) {
-		number, failed := strings.CutSuffix(field, failedMark)
+		number, failed := strings.CutSuffix(field, failedSuffix)
 		parts := strings.Split(number, ".")
-		if len(parts) != endParts {
+		if len(parts) != endNumbers {
 			return errors.Errorf("record: end %q: want step.index.run", field)
 		}
-		var n [endParts]uint32
+		var n [endNumbers]uint32
 		for i, p := range parts {
 			v, err := strconv.ParseUint(p, 10, 32)
 			if err != nil {
--- a/internal/kept/record/log.go
+++ b/internal/kept/record/log.go
@@ -3,8 +3,8 @@
 import "github.com/sirupsen/logrus"
 
 // LoggedValue encodes a row's value. All types of this package can be encoded; if one can't, the log says so.
-func LoggedValue(log *logrus.Entry, v any) []byte {
-	raw, err := Value(v)
+func EncodeLogged(log *logrus.Entry, v any) []byte {
+	raw, err := Encode(v)
 	if err != nil {
 		log.WithField("error", err.Error()).Error("job_row_not_encoded")
 	}
--- a/internal/kept/record/record.go
+++ b/internal/kept/record/record.go
@@ -24,10 +24,10 @@
 
 // The tables. Rows of the first five have the job's part and, but for expiries, its id as their name.
 const (
-	jobs   rows.Table = "hillreel_jobs"
-	open   rows.Table = "hillreel_jobs_open"
-	ended  rows.Table = "hillreel_jobs_ended"
-	expiry rows.Table = "hillreel_jobs_expiry"
+	jobsTable   rows.Table = "hillreel_jobs"
+	openTable   rows.Table = "hillreel_jobs_open"
+	endedTable  rows.Table = "hillreel_jobs_ended"
+	expiryTable rows.Table = "hillreel_jobs_expiry"
 	// Cancels is followed: a row says that another entry than the owner has cancelled the job.
 	Cancels rows.Table = "hillreel_jobs_cancelled"
 	// Leases has a row for each entry that owns open jobs; its part is empty.
@@ -44,32 +44,32 @@
 }
 
 // part returns the name of the part with a number.
-func part(n int) string { return "job-" + strconv.Itoa(n) }
+func partName(n int) string { return "job-" + strconv.Itoa(n) }
 
 // Part returns the part that holds a job.
 func (l Layout) Part(id job.ID) string {
 	h := fnv.New32a()
 	fmt.Fprint(h, id) //nolint:errcheck // a hash takes everything
-	return part(int(h.Sum32() % uint32(l.Parts)))
+	return partName(int(h.Sum32() % uint32(l.Parts)))
 }
 
 // All lists the parts.
-func (l Layout) All() []string {
+func (l Layout) AllParts() []string {
 	out := make([]string, l.Parts)
 	for i := range out {
-		out[i] = part(i)
+		out[i] = partName(i)
 	}
 	return out
 }
 
 // JobKey is where a job's request lies.
-func (l Layout) JobKey(id job.ID) rows.Key { return l.key(jobs, id) }
+func (l Layout) JobKey(id job.ID) rows.Key { return l.key(jobsTable, id) }
 
 // OpenKey is where a job's progress lies until it has ended.
-func (l Layout) OpenKey(id job.ID) rows.Key { return l.key(open, id) }
+func (l Layout) OpenKey(id job.ID) rows.Key { return l.key(openTable, id) }
 
 // EndedKey is where the state of a job that has ended lies.
-func (l Layout) EndedKey(id job.ID) rows.Key { return l.key(ended, id) }
+func (l Layout) EndedKey(id job.ID) rows.Key { return l.key(endedTable, id) }
 
 // CancelKey is where a cancellation by another entry than the owner lies.
 func (l Layout) CancelKey(id job.ID) rows.Key { return l.key(Cancels, id) }
@@ -82,25 +82,25 @@
 func LeaseKey(id LeaseID) rows.Key { return rows.Key{Table: Leases, Name: string(id)} }
 
 // OpenRows is the range of the open jobs of a part.
-func OpenRows(part string) rows.Range { return rows.Range{Table: open, Part: part} }
+func OpenRows(part string) rows.Range { return rows.Range{Table: openTable, Part: part} }
 
 // expiryDigits is the width of a time in an expiry's name: milliseconds of the store's clock, for 300 years.
 const expiryDigits = 13
 
 // ExpiryKey is where it lies that a job may be forgotten from a moment of the store's clock on.
 func (l Layout) ExpiryKey(id job.ID, at time.Duration) rows.Key {
-	k := l.key(expiry, id)
+	k := l.key(expiryTable, id)
 	k.Name = fmt.Sprintf("%0*d-%s", expiryDigits, at.Milliseconds(), id)
 	return k
 }
 
 // ExpiredRows is the range of expiries of a part before a moment.
 func ExpiredRows(part string, now time.Duration) rows.Range {
-	return rows.Range{Table: expiry, Part: part, To: fmt.Sprintf("%0*d", expiryDigits, now.Milliseconds())}
+	return rows.Range{Table: expiryTable, Part: part, To: fmt.Sprintf("%0*d", expiryDigits, now.Milliseconds())}
 }
 
 // Forget lists what goes with an expiry's row; that alone when its name can't be read.
-func (l Layout) Forget(k rows.Key) []rows.Key {
+func (l Layout) ExpiredJobKeys(k rows.Key) []rows.Key {
 	_, text, _ := strings.Cut(k.Name, "-")
 	id, err := job.ParseID(text)
 	if err != nil {
@@ -110,7 +110,7 @@
 }
 
 // JobOf reads the id in the name of a row of a job.
-func JobOf(k rows.Key) (job.ID, error) {
+func ParseJobID(k rows.Key) (job.ID, error) {
 	id, err := job.ParseID(k.Name)
 	return id, errors.Wrapf(err, "record: row %s/%s", k.Table, k.Name)
 }
@@ -144,14 +144,14 @@
 }
 
 // Open is a job that has not ended.
-type Open struct {
+type OpenJob struct {
 	Owner LeaseID `json:"owner"`
 	// Generation counts the owners, Sequence the writes, both from 1.
 	Generation uint32 `json:"generation"`
 	Sequence   uint64 `json:"sequence"`
 	// Void are, by task, the last runs that were given up while their agents were out of hearing: ends of theirs that are
 	// not among Ends count for nothing, and of no earlier generation's either.
-	Void        []TaskRun    `json:"void,omitempty"`
+	VoidRuns    []TaskRun    `json:"void,omitempty"`
 	Ends        Ends         `json:"ends,omitempty"`
 	Checkpoints []Checkpoint `json:"checkpoints,omitempty"`
 	// Crashes are of upstreams that were lost under tasks of the job.
@@ -159,7 +159,7 @@
 }
 
 // Ended is how a job has ended.
-type Ended struct {
+type EndedJob struct {
 	State verdict.State `json:"state"`
 	// By is the owner that says so, or empty when the job was cancelled by another entry.
 	By LeaseID `json:"by,omitempty"`
@@ -168,7 +168,7 @@
 }
 
 // Counted tells whether a run is one by which a task of the job has ended well, as far as the row says.
-func (e *Ended) Counted(step, index uint32, run job.Run) bool {
+func (e *EndedJob) Counted(step, index uint32, run job.Run) bool {
 	if e.State != verdict.Complete {
 		return false
 	}
@@ -196,13 +196,13 @@
 func (l *Lease) Until() time.Duration { return time.Duration(l.UntilMs) * time.Millisecond }
 
 // Value encodes one of the types above.
-func Value(v any) ([]byte, error) {
+func Encode(v any) ([]byte, error) {
 	raw, err := json.Marshal(v)
 	return raw, errors.Wrap(err, "record: encode")
 }
 
 // Read decodes a row's value.
-func Read[T any](r rows.Row) (T, error) {
+func Decode[T any](r rows.Row) (T, error) {
 	var v T
 	err := json.Unmarshal(r.Value, &v)
 	return v, errors.Wrapf(err, "record: row %s/%s", r.Key.Table, r.Key.Name)
--- a/internal/kept/record/record_test.go
+++ b/internal/kept/record/record_test.go
@@ -16,39 +16,39 @@
 )
 
 // TestRoundTrips: what is written is what is read.
-func TestRoundTrips(t *testing.T) {
-	open := record.Open{
-		Owner: "a-0", Generation: 2, Sequence: 9, Void: []record.TaskRun{{Step: 1, Index: 2, Run: 3}},
+func TestRoundTrip(t *testing.T) {
+	open := record.OpenJob{
+		Owner: "a-0", Generation: 2, Sequence: 9, VoidRuns: []record.TaskRun{{Step: 1, Index: 2, Run: 3}},
 		Ends:        record.Ends{{Step: 0, Index: 7, Run: 1}, {Step: 1, Index: 0, Run: 1025, Failed: true}},
 		Checkpoints: []record.Checkpoint{{Index: 4, Text: "saved"}},
-		Crashes:     []crash.Row{{Step: 1, Index: 2, VM: "vm", ID: "i-1", Born: 7, Loss: 8, AfterMs: 9, UntilMs: 10, Alone: true, Sole: true}},
+		Crashes:     []crash.Row{{Step: 1, Index: 2, VM: "vm", ID: "i-1", Born: 7, Loss: 8, AgeMs: 9, MaxAgeMs: 10, Alone: true, Sole: true}},
 	}
-	raw, err := record.Value(open)
+	raw, err := record.Encode(open)
 	qt.Assert(t, err, qt.IsNil)
-	got, err := record.Read[record.Open](rows.Row{Value: raw})
+	got, err := record.Decode[record.OpenJob](rows.Row{Value: raw})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, got, qt.DeepEquals, open)
 	kept := record.Job{Spec: job.Spec{Text: "x", Steps: []job.Step{{
 		Count: 3, Each: job.Resources{CPU: 1, Mem: 2, GPU: 3}, Estimate: time.Second, Requires: "a", Prefers: "b", MaxPerUpstream: 1,
 	}, {Count: 1, After: []uint32{0}}}}}
-	raw, err = record.Value(kept)
+	raw, err = record.Encode(kept)
 	qt.Assert(t, err, qt.IsNil)
-	gotJob, err := record.Read[record.Job](rows.Row{Value: raw})
+	gotJob, err := record.Decode[record.Job](rows.Row{Value: raw})
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, gotJob, qt.DeepEquals, kept)
 }
 
 // TestLargestJobFitsIntoARow: the progress of a job of as many tasks as one may have is smaller than a row.
 func TestLargestJobFitsIntoARow(t *testing.T) {
-	var open record.Open
+	var open record.OpenJob
 	for i := range uint32(1500) {
 		open.Ends = append(open.Ends, record.End{Step: i % 30, Index: i, Run: 1025})
 		open.AddCrash(fleet.Crash{
 			Task: job.TaskID{Step: i % 30, Index: i}, VM: "a-vm-with-quite-a-long-name-of-50-bytes-in-zone-abc", Life: ident.UpstreamLife{ID: "i-0123456789", Born: 1 << 41},
-			Loss: 1 << 41, After: time.Hour, Until: time.Hour, Alone: true, Sole: true,
+			Loss: 1 << 41, Age: time.Hour, MaxAge: time.Hour, Alone: true, OnlyTask: true,
 		})
 	}
-	raw, err := record.Value(open)
+	raw, err := record.Encode(open)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, len(raw) < 48<<10, qt.IsTrue, qt.Commentf("%d bytes", len(raw)))
 }
@@ -61,10 +61,10 @@
 		{`{"ends":"0.x.1"}`, `.*end "0.x.1": .*`},
 		{`{"ends":[1]}`, `.*ends.*`},
 	} {
-		_, err := record.Read[record.Open](rows.Row{Key: rows.Key{Table: "t", Name: "n"}, Value: []byte(test.text)})
+		_, err := record.Decode[record.OpenJob](rows.Row{Key: rows.Key{Table: "t", Name: "n"}, Value: []byte(test.text)})
 		qt.Assert(t, err, qt.ErrorMatches, test.want)
 	}
-	_, err := record.JobOf(rows.Key{Table: "t", Name: "zz"})
+	_, err := record.ParseJobID(rows.Key{Table: "t", Name: "zz"})
 	qt.Assert(t, err, qt.ErrorMatches, "record: row t/zz: id.*")
 }
 
@@ -75,12 +75,12 @@
 	for id := range job.ID(3000) {
 		seen[l.Part(id)]++
 	}
-	for _, p := range l.All() {
+	for _, p := range l.AllParts() {
 		qt.Assert(t, seen[p] > 800, qt.IsTrue, qt.Commentf("%v", seen))
 	}
 	key := l.ExpiryKey(7, 90*time.Second)
-	qt.Assert(t, l.Forget(key), qt.DeepEquals, []rows.Key{key, l.JobKey(7), l.EndedKey(7), l.CancelKey(7)})
-	qt.Assert(t, l.Forget(rows.Key{Name: "what"}), qt.DeepEquals, []rows.Key{{Name: "what"}})
+	qt.Assert(t, l.ExpiredJobKeys(key), qt.DeepEquals, []rows.Key{key, l.JobKey(7), l.EndedKey(7), l.CancelKey(7)})
+	qt.Assert(t, l.ExpiredJobKeys(rows.Key{Name: "what"}), qt.DeepEquals, []rows.Key{{Name: "what"}})
 	due := record.ExpiredRows(key.Part, 91*time.Second)
 	qt.Assert(t, key.Name < due.To, qt.IsTrue)
 	qt.Assert(t, l.ExpiryKey(7, 92*time.Second).Name < due.To, qt.IsFalse)
@@ -88,10 +88,10 @@
 
 // TestCounted: whether an ended job's row says that a run was counted.
 func TestCounted(t *testing.T) {
-	complete := record.Ended{State: verdict.Complete, Runs: record.Ends{{Index: 1, Run: 5}}}
-	failed := record.Ended{State: verdict.Failed}
+	complete := record.EndedJob{State: verdict.Complete, Runs: record.Ends{{Index: 1, Run: 5}}}
+	failed := record.EndedJob{State: verdict.Failed}
 	for _, test := range []struct {
-		row   record.Ended
+		row   record.EndedJob
 		index uint32
 		run   job.Run
 		want  bool
@@ -102,9 +102,9 @@
 
 // TestCrashes: crashes are read as they were added, those of a loss that was refuted are dropped, and there is a bound.
 func TestCrashes(t *testing.T) {
-	var open record.Open
+	var open record.OpenJob
 	lost := fleet.Crash{
-		Task: job.TaskID{Job: 7, Step: 1, Index: 2}, VM: "vm", Life: ident.UpstreamLife{ID: "i-1", Born: 5}, Loss: 9, After: 10 * time.Millisecond, Until: 20 * time.Millisecond, Alone: true, Sole: true,
+		Task: job.TaskID{Job: 7, Step: 1, Index: 2}, VM: "vm", Life: ident.UpstreamLife{ID: "i-1", Born: 5}, Loss: 9, Age: 10 * time.Millisecond, MaxAge: 20 * time.Millisecond, Alone: true, OnlyTask: true,
 	}
 	again := lost
 	again.Loss = 10
--- a/internal/link/codec/codec_test.go
+++ b/internal/link/codec/codec_test.go
@@ -19,7 +19,7 @@
 	for _, o := range []fleet.Order{
 		{},
 		{Seq: 7, Job: task.Job, Step: 1, Spec: "text", Each: job.Resources{CPU: 1600, Mem: 64, GPU: 1}, Estimate: 60 * time.Millisecond,
-			Tasks: []fleet.TaskRun{{Index: 3, Run: 2, Failures: 1, Checkpoint: "saved"}, {Index: 4, Run: 1, Alone: 200 * time.Millisecond}}},
+			Tasks: []fleet.TaskRun{{Index: 3, Run: 2, Failures: 1, Checkpoint: "saved"}, {Index: 4, Run: 1, AloneFor: 200 * time.Millisecond}}},
 	} {
 		got, err := codec.ReadOrder(codec.Order(o).GetStart())
 		qt.Assert(t, err, qt.IsNil)
@@ -54,7 +54,7 @@
 	}
 	life := ident.UpstreamLife{ID: "i-1", Born: 1234}
 	crashes := []fleet.Crash{
-		{Task: task, VM: "vm", Life: life, Loss: 99, After: 10 * time.Millisecond, Until: 20 * time.Millisecond, Alone: true, Sole: true}, {Task: task, VM: "vm-2", Life: ident.UpstreamLife{ID: "i-2"}},
+		{Task: task, VM: "vm", Life: life, Loss: 99, Age: 10 * time.Millisecond, MaxAge: 20 * time.Millisecond, Alone: true, OnlyTask: true}, {Task: task, VM: "vm-2", Life: ident.UpstreamLife{ID: "i-2"}},
 	}
 	refuted := []fleet.Refutation{{Life: life, UpTo: 98}}
 	gotCrashes, gotRefuted := codec.ReadCrashes(codec.Crashes(crashes, refuted).GetCrashes())
--- a/internal/link/codec/crash.go
+++ b/internal/link/codec/crash.go
@@ -23,7 +23,7 @@
 	for _, c := range crashes {
 		m.Crashes = append(m.Crashes, &wire.Crash{
 			Job: uint64(c.Task.Job), Step: c.Task.Step, Index: c.Task.Index, Vm: string(c.VM), Life: life(c.Life),
-			Loss: int64(c.Loss), AfterUs: c.After.Microseconds(), Alone: c.Alone, Sole: c.Sole, UntilUs: c.Until.Microseconds(),
+			Loss: int64(c.Loss), AfterUs: c.Age.Microseconds(), Alone: c.Alone, Sole: c.OnlyTask, UntilUs: c.MaxAge.Microseconds(),
 		})
 	}
 	for _, r := range refuted {
@@ -37,8 +37,8 @@
 	for _, c := range m.GetCrashes() {
 		crashes = append(crashes, fleet.Crash{
 			Task: job.TaskID{Job: job.ID(c.GetJob()), Step: c.GetStep(), Index: c.GetIndex()}, VM: ident.UpstreamName(c.GetVm()),
-			Life: readLife(c.GetLife()), Loss: fleet.LossNumber(c.GetLoss()), After: microseconds(c.GetAfterUs()), Alone: c.GetAlone(), Sole: c.GetSole(),
-			Until: microseconds(c.GetUntilUs()),
+			Life: readLife(c.GetLife()), Loss: fleet.LossNumber(c.GetLoss()), Age: microseconds(c.GetAfterUs()), Alone: c.GetAlone(), OnlyTask: c.GetSole(),
+			MaxAge: microseconds(c.GetUntilUs()),
 		})
 	}
 	for _, r := range m.GetRefuted() {
--- a/internal/link/codec/takeover.go
+++ b/internal/link/codec/takeover.go
@@ -25,14 +25,14 @@
 }
 
 func takeover(t fleet.Takeover) *wire.Takeover {
-	return &wire.Takeover{Job: uint64(t.Job), Holder: uint64(t.Holder), By: uint64(t.By)}
+	return &wire.Takeover{Job: uint64(t.Job), Holder: uint64(t.Holder), By: uint64(t.NewHolder)}
 }
 
 // readTakeover decodes a takeover; by is the entry that takes the job over where the message doesn't say.
 func readTakeover(m *wire.Takeover, by ident.Incarnation) fleet.Takeover {
-	t := fleet.Takeover{Job: job.ID(m.GetJob()), Holder: ident.Incarnation(m.GetHolder()), By: ident.Incarnation(m.GetBy())}
-	if t.By == 0 {
-		t.By = by
+	t := fleet.Takeover{Job: job.ID(m.GetJob()), Holder: ident.Incarnation(m.GetHolder()), NewHolder: ident.Incarnation(m.GetBy())}
+	if t.NewHolder == 0 {
+		t.NewHolder = by
 	}
 	return t
 }
--- a/internal/link/links/cordons.go
+++ b/internal/link/links/cordons.go
@@ -9,7 +9,7 @@
 // TellCordons tells one side what differs from what it knows. It is called for each new link before anything else is sent there, so that
 // an order never comes ahead of what its entry knows of cordons.
 func (l *Link[T]) TellCordons(all []cordon.Snapshot) {
-	for _, s := range l.cordons.Due(all) {
+	for _, s := range l.cordons.TakeDue(all) {
 		l.Session.Send(codec.Cordons(s))
 	}
 }
@@ -17,7 +17,7 @@
 // HeardCordons reads what the other side has told.
 func (l *Link[T]) HeardCordons(m *wire.Cordons) cordon.Snapshot {
 	s := codec.ReadCordons(m)
-	l.cordons.Heard(s)
+	l.cordons.RecordReceived(s)
 	return s
 }
 
--- a/internal/link/members/members.go
+++ b/internal/link/members/members.go
@@ -74,7 +74,7 @@
 // Change takes in changes of the table; it is a follow.Change.
 func (d *Directory) Change(c follow.Changes) {
 	d.mu.Lock()
-	if c.Whole {
+	if c.Complete {
 		clear(d.all)
 	}
 	for _, r := range c.Rows {
--- a/internal/load/world/agent.go
+++ b/internal/load/world/agent.go
@@ -15,15 +15,15 @@
 
 // agent is the VM of an upstream, with the agent beside it.
 type agent struct {
-	w      *World
-	name   ident.UpstreamName
-	zone   string
-	inc    ident.Incarnation
-	alive  bool
-	keeper *upstream.Keeper
-	up     *simUpstream
-	links  map[*entry]*link
-	order  []*entry
+	w       *World
+	name    ident.UpstreamName
+	zone    string
+	inc     ident.Incarnation
+	alive   bool
+	manager *upstream.Controller
+	up      *simUpstream
+	links   map[*entry]*link
+	order   []*entry
 }
 
 func (w *World) addAgent(z *plan.Zone) {
@@ -39,7 +39,7 @@
 	a.inc, a.alive = ident.Incarnation(a.w.rng.Uint64()|1), true
 	a.links, a.order = make(map[*entry]*link), nil
 	a.up.named++
-	a.keeper = upstream.New(a.w.timing, nil, a.w.Now(), calls{a, a.inc}, words{a}, quiet{})
+	a.manager = upstream.New(a.w.timing, nil, a.w.Now(), calls{a, a.inc}, words{a}, quiet{})
 	a.up.begin()
 	a.hearCordons()
 	a.tick(a.inc)
@@ -50,8 +50,8 @@
 	if !a.alive || a.inc != inc {
 		return
 	}
-	a.keeper.Tick(a.w.Now())
-	a.keeper.Flush(a.w.Now())
+	a.manager.Tick(a.w.Now())
+	a.manager.Flush(a.w.Now())
 	a.w.After(a.w.links.Tick, func() { a.tick(inc) })
 }
 
@@ -83,7 +83,7 @@
 	c.a.w.After(c.a.w.handling(), func() {
 		if c.a.alive && c.a.inc == c.inc {
 			f()
-			c.a.keeper.Flush(c.a.w.Now())
+			c.a.manager.Flush(c.a.w.Now())
 		}
 	})
 }
@@ -92,7 +92,7 @@
 func (c calls) Start(s call.Start) {
 	c.a.w.After(c.a.w.handling(), func() {
 		answer, clock := c.a.up.start(s), c.a.up.clock()
-		c.back(func() { c.a.keeper.StartDone(c.a.w.Now(), s, answer, clock) })
+		c.back(func() { c.a.manager.StartDone(c.a.w.Now(), s, answer, clock) })
 	})
 }
 
@@ -100,14 +100,14 @@
 func (c calls) Stop(s call.Stop) {
 	c.a.w.After(c.a.w.handling(), func() {
 		answer, clock := c.a.up.stop(s), c.a.up.clock()
-		c.back(func() { c.a.keeper.StopDone(c.a.w.Now(), s, answer, clock) })
+		c.back(func() { c.a.manager.StopDone(c.a.w.Now(), s, answer, clock) })
 	})
 }
 
 // Hold asks what runs.
 func (c calls) Hold(h call.Hold) {
 	c.a.w.After(c.a.w.handling(), func() {
-		c.a.up.hold(h, func(held call.Held) { c.back(func() { c.a.keeper.HoldDone(c.a.w.Now(), h, held) }) })
+		c.a.up.hold(h, func(held call.HoldResult) { c.back(func() { c.a.manager.HoldDone(c.a.w.Now(), h, held) }) })
 	})
 }
 
@@ -125,7 +125,7 @@
 
 // Upstream describes the upstream.
 func (x words) Upstream(to ident.Incarnation, u fleet.Upstream) {
-	x.tell(to, func(e *entry, _ *link) { e.table.Upstream(e.w.Now(), x.a.inc, u) })
+	x.tell(to, func(e *entry, _ *link) { e.table.HandleUpstream(e.w.Now(), x.a.inc, u) })
 }
 
 // Room tells what room there is.
@@ -137,79 +137,79 @@
 		if first {
 			e.ping(x.a, l)
 		}
-		e.table.Room(e.w.Now(), x.a.inc, r)
+		e.table.HandleRoom(e.w.Now(), x.a.inc, r)
 	})
 }
 
 // End tells how a run ended.
 func (x words) End(to ident.Incarnation, end fleet.End) {
 	x.a.w.result.Messages.Ends++
-	x.tell(to, func(e *entry, _ *link) { e.table.Ended(e.w.Now(), x.a.inc, end) })
+	x.tell(to, func(e *entry, _ *link) { e.table.HandleEnd(e.w.Now(), x.a.inc, end) })
 }
 
 // Progress tells how runs get on.
 func (x words) Progress(to ident.Incarnation, runs []fleet.Progress) {
-	x.tell(to, func(e *entry, _ *link) { e.table.Progress(e.w.Now(), x.a.inc, runs) })
+	x.tell(to, func(e *entry, _ *link) { e.table.HandleProgress(e.w.Now(), x.a.inc, runs) })
 }
 
 // Resumed tells which runs go on.
 func (x words) Resumed(to ident.Incarnation, runs []fleet.OrderedRun) {
-	x.tell(to, func(e *entry, _ *link) { e.table.Resumed(x.a.inc, runs) })
+	x.tell(to, func(e *entry, _ *link) { e.table.HandleResumed(x.a.inc, runs) })
 }
 
 // Asked is for kept jobs, of which there are none.
-func (words) Asked(ident.Incarnation, uint64) {}
+func (words) EndsSent(ident.Incarnation, uint64) {}
 
 // Holding tells which jobs another entry has held for long.
 func (x words) Holding(to, holder ident.Incarnation, jobs []job.ID) {
 	x.a.w.result.Messages.Takeovers++
-	x.tell(to, func(e *entry, _ *link) { e.table.Holding(e.w.Now(), holder, jobs) })
+	x.tell(to, func(e *entry, _ *link) { e.table.HandleHeld(e.w.Now(), holder, jobs) })
 }
 
 // Release asks the holder of a job to give it up.
 func (x words) Release(t fleet.Takeover) {
 	x.a.w.result.Messages.Takeovers++
-	x.tell(t.Holder, func(e *entry, _ *link) { e.table.GiveUp(e.w.Now(), x.a.inc, t) })
+	x.tell(t.Holder, func(e *entry, _ *link) { e.table.HandleTakeover(e.w.Now(), x.a.inc, t) })
 }
 
 // Released tells the entry that takes a job over that nothing of it remains.
 func (x words) Released(r fleet.Released) {
 	x.a.w.result.Messages.Takeovers++
-	x.tell(r.By, func(e *entry, _ *link) { e.table.Released(e.w.Now(), x.a.inc, r) })
+	x.tell(r.NewHolder, func(e *entry, _ *link) { e.table.HandleReleased(e.w.Now(), x.a.inc, r) })
 }
 
 // Settled tells that nothing of earlier sessions remains.
 func (x words) Settled(to ident.Incarnation) {
-	x.tell(to, func(e *entry, _ *link) { e.table.Settled(e.w.Now(), x.a.inc) })
+	x.tell(to, func(e *entry, _ *link) { e.table.HandleSettled(e.w.Now(), x.a.inc) })
 }
 
 // Lost tells all entries of the tasks that the upstream was lost under.
-func (x words) Lost(l upstream.Loss) {
+func (x words) UpstreamLost(l upstream.Loss) {
 	for _, e := range x.a.order {
-		x.a.links[e].toEntry(func() { e.table.Crashed(e.w.Now(), l.Crashes(x.a.name)) })
+		x.a.links[e].toEntry(func() { e.table.HandleCrashes(e.w.Now(), l.Crashes(x.a.name)) })
 	}
 }
 
 // Refuted tells all entries that a life has answered which was taken for lost.
-func (x words) Refuted(r fleet.Refutation) {
+func (x words) LossRefuted(r fleet.Refutation) {
 	for _, e := range x.a.order {
-		x.a.links[e].toEntry(func() { e.table.Refuted(e.w.Now(), []fleet.Refutation{r}) })
+		x.a.links[e].toEntry(func() { e.table.HandleRefutations(e.w.Now(), []fleet.Refutation{r}) })
 	}
 }
 
 // quiet observes nothing.
 type quiet struct{}
 
-func (quiet) Ended(upstream.Ending)                                  {}
-func (quiet) State(fleet.State, fleet.State, string)                 {}
-func (quiet) Orphaned(ident.Incarnation, int, string, time.Duration) {}
-func (quiet) Lapsed(time.Duration)                                   {}
-func (quiet) Unconfirmed(ident.Incarnation, []fleet.End)             {}
-func (quiet) Outlived(_, _ ident.UpstreamLife)                       {}
-func (quiet) Gated(job.TaskID, ident.Incarnation)                    {}
-func (quiet) Unsure(job.TaskID, job.Run)                             {}
-func (quiet) Begun(ident.UpstreamLife, string, bool)                 {}
-func (quiet) Dropped(lives.Beat, uint64)                             {}
-func (quiet) Stray(fleet.RunRef, upstream.StrayEvent)                {}
-func (quiet) Overtaken()                                             {}
-func (quiet) Lost(upstream.Loss)                                     {}
+func (quiet) RunEnded(upstream.Ending)                                   {}
+func (quiet) StateChanged(fleet.State, fleet.State, string)              {}
+func (quiet) RunsOrphaned(ident.Incarnation, int, string, time.Duration) {}
+func (quiet) LeaseLapsed(time.Duration)                                  {}
+func (quiet) EndsUnconfirmed(ident.Incarnation, []fleet.End)             {}
+func (quiet) HeartbeatOutlived(_, _ ident.UpstreamLife)                  {}
+func (quiet) OrderGated(job.TaskID, ident.Incarnation)                   {}
+func (quiet) StartUnsure(job.TaskID, job.Run)                            {}
+func (quiet) LifeBegun(ident.UpstreamLife, string, bool)                 {}
+func (quiet) HeartbeatDropped(lives.Heartbeat, uint64)                   {}
+func (quiet) StrayChanged(fleet.RunRef, upstream.StrayEvent)             {}
+func (quiet) ListingOvertaken()                                          {}
+func (quiet) UpstreamLost(upstream.Loss)                                 {}
--- a/internal/load/world/callers.go
+++ b/internal/load/world/callers.go
@@ -131,7 +131,7 @@
 			return
 		}
 		e.waiting[r.caller] = r
-		e.table.HearCaller(w.Now())
+		e.table.RecordCallerContact(w.Now())
 		e.table.Submit(w.Now(), dispatch.Request{
 			Job: s.id, Spec: s.spec, Route: w.routes[s.kind.Name], Caller: r.caller, Deadline: w.Now().Add(left),
 		})
--- a/internal/load/world/cordon.go
+++ b/internal/load/world/cordon.go
@@ -52,6 +52,6 @@
 	if slices.Contains(a.w.cordoned, ident.Zone(a.zone)) {
 		state = upstream.ZoneCordoned
 	}
-	a.keeper.SetZone(state)
-	a.keeper.Flush(a.w.Now())
+	a.manager.SetZone(state)
+	a.manager.Flush(a.w.Now())
 }
--- a/internal/load/world/entry.go
+++ b/internal/load/world/entry.go
@@ -70,7 +70,7 @@
 func (e *entry) ping(a *agent, l *link) {
 	l.pinged = e.w.Now()
 	clock, pace := l.clock, e.table.Pace()
-	l.toAgent(shortMessage, func() { a.keeper.Ping(e.w.Now(), e.inc, clock, pace) })
+	l.toAgent(shortMessage, func() { a.manager.Ping(e.w.Now(), e.inc, clock, pace) })
 }
 
 // Sizes of messages, in bytes.
@@ -125,7 +125,7 @@
 func (o orders) Order(to ident.Incarnation, order fleet.Order) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Orders++
-		l.toAgent(headers+proto.Size(codec.Order(order)), func() { l.a.keeper.Order(o.e.w.Now(), l.e.inc, order) })
+		l.toAgent(headers+proto.Size(codec.Order(order)), func() { l.a.manager.Order(o.e.w.Now(), l.e.inc, order) })
 	}
 }
 
@@ -133,36 +133,36 @@
 func (o orders) Stop(to ident.Incarnation, r fleet.OrderedRun, why fleet.Reason) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Stops++
-		l.toAgent(shortMessage, func() { l.a.keeper.StopTask(o.e.w.Now(), l.e.inc, r, why) })
+		l.toAgent(shortMessage, func() { l.a.manager.StopTask(o.e.w.Now(), l.e.inc, r, why) })
 	}
 }
 
 // Holding tells an agent, for its other entries, which jobs this entry has held for long.
-func (o orders) Holding(to ident.Incarnation, jobs []job.ID) {
+func (o orders) AnnounceHeld(to ident.Incarnation, jobs []job.ID) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Takeovers++
-		l.toAgent(headers+proto.Size(codec.Holding(0, jobs)), func() { l.a.keeper.Holding(o.e.w.Now(), l.e.inc, jobs) })
+		l.toAgent(headers+proto.Size(codec.Holding(0, jobs)), func() { l.a.manager.Holding(o.e.w.Now(), l.e.inc, jobs) })
 	}
 }
 
 // Release asks for a job that another entry holds.
-func (o orders) Release(to ident.Incarnation, id job.ID, holder ident.Incarnation) {
+func (o orders) RequestRelease(to ident.Incarnation, id job.ID, holder ident.Incarnation) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Takeovers++
-		l.toAgent(shortMessage, func() { l.a.keeper.Release(o.e.w.Now(), fleet.Takeover{Job: id, Holder: holder, By: l.e.inc}) })
+		l.toAgent(shortMessage, func() { l.a.manager.Release(o.e.w.Now(), fleet.Takeover{Job: id, Holder: holder, NewHolder: l.e.inc}) })
 	}
 }
 
 // Released tells that nothing of a job remains.
-func (o orders) Released(to ident.Incarnation, r fleet.Released) {
+func (o orders) SendReleased(to ident.Incarnation, r fleet.Released) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Takeovers++
-		l.toAgent(shortMessage, func() { l.a.keeper.Released(r) })
+		l.toAgent(shortMessage, func() { l.a.manager.Released(r) })
 	}
 }
 
 // Crashes tells nobody: VMs lose power with both, their agent and their upstream.
-func (orders) Crashes([]fleet.Crash) {}
+func (orders) SendCrashes([]fleet.Crash) {}
 
 func (e *entry) linkTo(inc ident.Incarnation) *link {
 	for _, a := range e.order {
@@ -209,10 +209,10 @@
 func (notes) Answered(job.ID, *route.Route, dispatch.Answer, dispatch.Summary) {}
 
 // StopsAsked counts nothing.
-func (notes) StopsAsked(dispatch.Stops) {}
+func (notes) StopsRequested(dispatch.Stops) {}
 
 // CameAgain counts nothing: callers count what they send.
-func (notes) CameAgain(*dispatch.Request, dispatch.Holding) {}
+func (notes) Resubmitted(*dispatch.Request, dispatch.HeldJob) {}
 
 // OutOfTouch and Belated count nothing: entries are never cut off here.
 func (notes) OutOfTouch(time.Duration, int) {}
@@ -221,7 +221,7 @@
 func (notes) Belated(*dispatch.Request) {}
 
 // TakenOver counts nothing: the entries' logs have it.
-func (notes) TakenOver(job.ID, ident.Incarnation, time.Duration, dispatch.TakeoverEvent) {}
+func (notes) TakeoverChanged(job.ID, ident.Incarnation, time.Duration, dispatch.TakeoverEvent) {}
 
 // AgentChanged counts nothing.
 func (notes) AgentChanged(ident.UpstreamName, int, dispatch.AgentEvent) {}
--- a/internal/load/world/link.go
+++ b/internal/load/world/link.go
@@ -24,9 +24,9 @@
 	l := &link{w: w, e: e, a: a, open: true, pinged: w.Now()}
 	e.links[a], a.links[e] = l, l
 	e.order, a.order = append(e.order, a), append(a.order, e)
-	e.table.Linked(w.Now(), a.inc, a.name, ident.Zone(a.zone))
-	a.keeper.Linked(w.Now(), e.inc)
-	a.keeper.Flush(w.Now())
+	e.table.HandleLinked(w.Now(), a.inc, a.name, ident.Zone(a.zone))
+	a.manager.EntryLinked(w.Now(), e.inc)
+	a.manager.Flush(w.Now())
 }
 
 // unlink breaks a link. The sides that live notice it once they have heard nothing for a while.
@@ -37,20 +37,20 @@
 	delete(a.links, e)
 	e.order = slices.DeleteFunc(e.order, func(o *agent) bool { return o == a })
 	a.order = slices.DeleteFunc(a.order, func(o *entry) bool { return o == e })
-	w.After(w.links.Quiet(), func() {
+	w.After(w.links.LinkTimeout(), func() {
 		if e.alive && e.inc == entryLife {
-			e.table.Unlinked(w.Now(), agentLife)
+			e.table.HandleUnlinked(w.Now(), agentLife)
 		}
 		if a.alive && a.inc == agentLife {
-			a.keeper.Unlinked(w.Now(), entryLife, "silent")
-			a.keeper.Flush(w.Now())
+			a.manager.EntryUnlinked(w.Now(), entryLife, "silent")
+			a.manager.Flush(w.Now())
 		}
 	})
 }
 
 // toAgent carries a message of so many bytes to the agent.
 func (l *link) toAgent(size int, f func()) {
-	l.carry(&l.nextA, l.e.transmit(size), func() { f(); l.a.keeper.Flush(l.w.Now()) })
+	l.carry(&l.nextA, l.e.transmit(size), func() { f(); l.a.manager.Flush(l.w.Now()) })
 }
 
 // toEntry carries a message to the entry.
--- a/internal/load/world/upstream.go
+++ b/internal/load/world/upstream.go
@@ -44,7 +44,7 @@
 	from time.Time
 	// takes is how long it runs; zero is for ever.
 	takes    time.Duration
-	how      call.How
+	how      call.Result
 	cores    float64
 	stopping bool
 }
@@ -94,7 +94,7 @@
 	}
 	u.beats++
 	total := job.Resources{CPU: int64(u.kind.Cores * milli), Mem: 1 << 30}
-	u.a.keeper.Beat(u.w.Now(), lives.Beat{
+	u.a.manager.Heartbeat(u.w.Now(), lives.Heartbeat{
 		Upstream: fleet.Upstream{ID: u.id, Service: service, Total: total}, Born: u.told(), Sequence: u.beats, Clock: u.clock(),
 	})
 	u.w.After(beatEvery, func() { u.beat(life) })
@@ -107,12 +107,12 @@
 	}
 	s := u.w.result.jobs[c.Task.Job]
 	r := &simRun{
-		task: c.Task, run: c.Run, from: u.w.Now(), how: call.HowDone, cores: s.cores,
+		task: c.Task, run: c.Run, from: u.w.Now(), how: call.ResultDone, cores: s.cores,
 		takes: time.Duration(float64(s.times[c.Task.Index]) * u.kind.Slowness * u.slow),
 	}
 	switch {
 	case u.fail:
-		r.how, r.takes = call.HowFailed, time.Millisecond
+		r.how, r.takes = call.ResultFailed, time.Millisecond
 	case u.hang:
 		r.takes = 0
 	}
@@ -144,24 +144,24 @@
 	}
 	if r := u.runs[c.Task]; r != nil && r.run <= c.Run && !r.stopping {
 		r.stopping = true
-		u.w.After(time.Duration(u.w.rng.Int64N(int64(stopTime))), func() { u.finish(r, call.HowStopped) })
+		u.w.After(time.Duration(u.w.rng.Int64N(int64(stopTime))), func() { u.finish(r, call.ResultStopped) })
 	}
 	return call.OK
 }
 
 // finish ends a run.
-func (u *simUpstream) finish(r *simRun, how call.How) {
+func (u *simUpstream) finish(r *simRun, how call.Result) {
 	if !u.up || u.runs[r.task] != r {
 		return
 	}
 	delete(u.runs, r.task)
 	work := r.cores * u.w.Now().Sub(r.from).Seconds()
 	u.w.result.Used += work
-	if how != call.HowDone {
+	if how != call.ResultDone {
 		u.w.result.Wasted += work
 	}
 	u.n++
-	u.ends = append(u.ends, call.Finished{N: u.n, Task: r.task, Run: r.run, How: how})
+	u.ends = append(u.ends, call.Finished{Number: u.n, Task: r.task, Run: r.run, Result: how})
 	waiters := u.waiters
 	u.waiters = nil
 	for _, answer := range waiters {
@@ -170,12 +170,12 @@
 }
 
 // hold handles a hold; it is answered once a run ends, or when its wait is over.
-func (u *simUpstream) hold(c call.Hold, answer func(call.Held)) {
+func (u *simUpstream) hold(c call.Hold, answer func(call.HoldResult)) {
 	if a := u.admits(c.Header); a != call.OK {
-		answer(call.Held{Answer: a, Clock: u.clock()})
+		answer(call.HoldResult{Answer: a, Clock: u.clock()})
 		return
 	}
-	for len(u.ends) > 0 && u.ends[0].N <= c.Seen {
+	for len(u.ends) > 0 && u.ends[0].Number <= c.Seen {
 		u.ends = u.ends[1:]
 	}
 	if len(u.ends) > 0 || c.Wait == 0 {
@@ -194,15 +194,15 @@
 }
 
 // held lists what runs and what has ended.
-func (u *simUpstream) held() call.Held {
-	h := call.Held{Answer: call.OK, Clock: u.clock(), Born: u.told(), Finished: slices.Clone(u.ends)}
+func (u *simUpstream) held() call.HoldResult {
+	h := call.HoldResult{Answer: call.OK, Clock: u.clock(), Born: u.told(), Finished: slices.Clone(u.ends)}
 	for _, r := range u.runs {
 		percent := 0
 		if r.takes > 0 {
 			percent = min(int(100*u.w.Now().Sub(r.from)/r.takes), 99)
 		}
-		h.Running = append(h.Running, call.Listed{Task: r.task, Run: r.run, Percent: percent})
+		h.Running = append(h.Running, call.Running{Task: r.task, Run: r.run, Percent: percent})
 	}
-	slices.SortFunc(h.Running, func(a, b call.Listed) int { return cmp.Or(a.Task.Compare(b.Task), cmp.Compare(a.Run, b.Run)) })
+	slices.SortFunc(h.Running, func(a, b call.Running) int { return cmp.Or(a.Task.Compare(b.Task), cmp.Compare(a.Run, b.Run)) })
 	return h
 }
--- a/internal/proof/schedule/callers_test.go
+++ b/internal/proof/schedule/callers_test.go
@@ -116,7 +116,7 @@
 			s.broken(a)
 			return
 		}
-		e.doIn(inc, func() { e.hear(); e.table.HearCaller(e.now()); e.take(s, a, caller) })
+		e.doIn(inc, func() { e.hear(); e.table.RecordCallerContact(e.now()); e.take(s, a, caller) })
 	})
 	leave := w.cuts.waits(s.patience)
 	if w.chance(w.odds.leaves) {
@@ -134,7 +134,7 @@
 					w.cuts.noteGone(s, e)
 					delete(e.waiting, caller)
 					if s.kept {
-						e.book.Abandon(s.id, caller)
+						e.keptJobs.Abandon(s.id, caller)
 						return
 					}
 					e.table.Abandon(e.now(), s.id, caller)
@@ -189,7 +189,7 @@
 	}
 	e.waiting[c] = func(answer dispatch.Answer) { s.answer(e, a, answer) }
 	if s.kept {
-		e.book.Submit(e.now(), dispatch.Request{
+		e.keptJobs.Submit(e.now(), dispatch.Request{
 			Job: s.id, Spec: s.spec, Route: publish, Caller: c, Deadline: e.now().Add(s.patience),
 		})
 		return
--- a/internal/proof/schedule/cordons_test.go
+++ b/internal/proof/schedule/cordons_test.go
@@ -146,7 +146,7 @@
 // adopt takes in a snapshot; what is believed never goes back to an older one.
 func (w *world) adopt(name string, set *cordon.Set, s cordon.Snapshot) bool {
 	var before rows.Version
-	for _, have := range set.All() {
+	for _, have := range set.Snapshots() {
 		if have.Source == s.Source {
 			before = have.Version
 		}
@@ -179,10 +179,10 @@
 		if &a.proc != side.other.owner {
 			continue
 		}
-		for _, s := range side.cordons.Due(e.cordons.All()) {
+		for _, s := range side.cordons.TakeDue(e.cordons.Snapshots()) {
 			side.send(func() {
 				back := side.other
-				back.cordons.Heard(s)
+				back.cordons.RecordReceived(s)
 				a.adoptCordons(s)
 				a.tellCordons(back)
 			})
@@ -205,10 +205,10 @@
 		if a.cordonedAt.IsZero() {
 			a.cordonedAt = a.w.Now()
 		}
-		a.keeper.SetZone(upstream.ZoneCordoned)
-	case a.cordons.Known():
+		a.manager.SetZone(upstream.ZoneCordoned)
+	case a.cordons.Complete():
 		a.cordonedAt = time.Time{}
-		a.keeper.SetZone(upstream.ZoneOpen)
+		a.manager.SetZone(upstream.ZoneOpen)
 	}
 	a.flush()
 }
@@ -219,10 +219,10 @@
 		if &e.proc != side.other.owner {
 			continue
 		}
-		for _, s := range side.cordons.Due(a.cordons.All()) {
+		for _, s := range side.cordons.TakeDue(a.cordons.Snapshots()) {
 			side.send(func() {
 				back := side.other
-				back.cordons.Heard(s)
+				back.cordons.RecordReceived(s)
 				e.adoptCordons(s)
 				e.tellCordons(back)
 			})
@@ -240,7 +240,7 @@
 	if heard := a.cordonedAt; !heard.IsZero() && now.Sub(heard) > gateBound {
 		u.w.violate("%s %v after its agent has heard that its zone is cordoned", what, now.Sub(heard))
 	}
-	if !a.cordons.Known() && now.Sub(a.begunAt) > gateBound {
+	if !a.cordons.Complete() && now.Sub(a.begunAt) > gateBound {
 		u.w.violate("%s while its agent has not heard which zones are cordoned", what)
 	}
 }
--- a/internal/proof/schedule/crashes_test.go
+++ b/internal/proof/schedule/crashes_test.go
@@ -349,13 +349,13 @@
 	news := a.crashes.AddAll(a.now(), all)
 	var lives []fleet.Refutation
 	for _, l := range refuted {
-		spread := from == nil || a.crashes.Repeats(l.Life)
+		spread := from == nil || a.crashes.IsRepeatLoss(l.Life)
 		if a.crashes.Refute(l) && spread {
 			lives = append(lives, l)
 		}
 	}
 	if from != nil {
-		news = a.crashes.Spread(news)
+		news = a.crashes.SelectRepeated(news)
 	}
 	a.rememberCrashes()
 	for _, e := range a.w.entries {
@@ -370,7 +370,7 @@
 
 // rememberCrashes lets the agent's row have what it knows of crashes of its own VM's upstreams.
 func (a *agentProc) rememberCrashes() {
-	all, inc := a.crashes.On(a.now(), ident.UpstreamName(a.name)), a.inc
+	all, inc := a.crashes.CrashesOn(a.now(), ident.UpstreamName(a.name)), a.inc
 	if len(all) == 0 {
 		return
 	}
@@ -387,18 +387,18 @@
 
 // adoptCrashes is what the entry's node does with what an agent has told of crashes.
 func (e *entryProc) adoptCrashes(from *agentProc, all []fleet.Crash, refuted []fleet.Refutation) {
-	if e.w.without.Off(rule.CrashTold) {
+	if e.w.without.Has(rule.CrashTold) {
 		all = slices.DeleteFunc(slices.Clone(all), func(c fleet.Crash) bool { return !e.table.Held(c.Task.Job) })
 	}
 	known := e.table.Crashes()
 	var lives []fleet.Refutation
 	for _, l := range refuted {
-		if known.Repeats(l.Life) {
+		if known.IsRepeatLoss(l.Life) {
 			lives = append(lives, l)
 		}
 	}
-	e.table.Refuted(e.now(), refuted)
-	news := known.Spread(e.table.Crashed(e.now(), all))
+	e.table.HandleRefutations(e.now(), refuted)
+	news := known.SelectRepeated(e.table.HandleCrashes(e.now(), all))
 	for _, a := range e.w.agents {
 		if side := e.links[&a.proc]; side != nil && a != from && len(news)+len(lives) > 0 {
 			side.send(func() { a.tellCrashes(e, news, lives) })
--- a/internal/proof/schedule/kept_test.go
+++ b/internal/proof/schedule/kept_test.go
@@ -12,7 +12,7 @@
 	"hillreel/internal/core/rows"
 	"hillreel/internal/core/verdict"
 	"hillreel/internal/entry/dispatch"
-	"hillreel/internal/kept/ledger"
+	"hillreel/internal/kept/jobstore"
 	"hillreel/internal/kept/record"
 )
 
@@ -38,7 +38,7 @@
 	w := s.w
 	e := w.entries[w.rng.IntN(len(w.entries))]
 	e.do(func() {
-		if state, known := e.book.State(s.id); known && state != verdict.Running {
+		if state, known := e.keptJobs.State(s.id); known && state != verdict.Running {
 			s.shown(state)
 		}
 	})
@@ -78,7 +78,7 @@
 
 // endedState is how a kept job has ended, as the store has it.
 func (s *submission) endedState() verdict.State {
-	ended, err := record.Read[record.Ended](s.w.store.Rows[layout.EndedKey(s.id)])
+	ended, err := record.Decode[record.EndedJob](s.w.store.Rows[layout.EndedKey(s.id)])
 	if err != nil {
 		s.w.violate("a row that can't be read: %v", err)
 	}
@@ -93,14 +93,14 @@
 	caller := dispatch.CallerID(uint64(s.id)<<8 | 0xff)
 	e.do(func() {
 		e.waiting[caller] = func(a dispatch.Answer) { s.cancelled(a.State) }
-		if e.book.Cancel(e.now(), s.id, caller) {
+		if e.keptJobs.Cancel(e.now(), s.id, caller) {
 			return
 		}
 		delete(e.waiting, caller)
 		if w.store.silent || w.store.busy || e.storeCut {
 			return
 		}
-		state, err := ledger.NewReader(atOnce{w.store}, layout, time.Hour).Cancel(context.Background(), s.id)
+		state, err := jobstore.NewReader(atOnce{w.store}, layout, time.Hour).Cancel(context.Background(), s.id)
 		if err != nil {
 			w.violate("cancel: %v", err)
 		}
@@ -162,13 +162,13 @@
 		return
 	}
 	t := &s.tasks[e.Task.Index]
-	switch e.How {
-	case call.HowDone:
+	switch e.Result {
+	case call.ResultDone:
 		t.noted = true
 		if t.started.After(e.at) {
 			u.w.violate("the end of a run of %v that went well is noted, and it has started again since", e.Task)
 		}
-	case call.HowFailed:
+	case call.ResultFailed:
 		t.notedFailures++
 	}
 }
@@ -199,14 +199,14 @@
 			}
 			continue
 		}
-		ended, err := record.Read[record.Ended](row)
+		ended, err := record.Decode[record.EndedJob](row)
 		if err != nil {
 			w.violate("a row that can't be read: %v", err)
 		}
 		s.shown(ended.State)
 	}
 	for _, e := range w.entries {
-		if n := e.book.Jobs(); n > 0 && e.alive {
+		if n := e.keptJobs.Len(); n > 0 && e.alive {
 			w.violate("%s still holds %d kept jobs", e.name, n)
 		}
 	}
--- a/internal/proof/schedule/link_test.go
+++ b/internal/proof/schedule/link_test.go
@@ -89,7 +89,7 @@
 	}
 	if !p.e.alive && !p.e.power && p.a.alive && !p.a.frozen && !p.toAgent && !p.toEnt {
 		// The VM answers that nobody listens.
-		p.a.keeper.Gone(p.a.now(), p.last, "refused")
+		p.a.manager.EntryGone(p.a.now(), p.last, "refused")
 		p.a.flush()
 	}
 	w.After(redial, func() { w.dial(p) })
@@ -97,7 +97,7 @@
 
 func (w *world) link(p *pair) {
 	toAgent := &linkSide{owner: &p.e.proc, inc: p.e.inc, open: true, heard: p.e.now(), cut: &p.toAgent, slow: &p.slow, cordons: cordon.NewPeer()}
-	toEntry := &linkSide{owner: &p.a.proc, inc: p.a.inc, open: true, heard: p.a.now(), cut: &p.toEnt, slow: &p.slow, cordons: cordon.NewOpenPeer()}
+	toEntry := &linkSide{owner: &p.a.proc, inc: p.a.inc, open: true, heard: p.a.now(), cut: &p.toEnt, slow: &p.slow, cordons: cordon.NewPeerWithoutCordons()}
 	toAgent.other, toEntry.other = toEntry, toAgent
 	p.open = append(p.open, toAgent, toEntry)
 	if old := p.e.links[&p.a.proc]; old != nil {
@@ -106,13 +106,13 @@
 	}
 	p.e.links[&p.a.proc], p.a.links[&p.e.proc] = toAgent, toEntry
 	if p.last != p.e.inc {
-		p.a.keeper.Gone(p.a.now(), p.last, "restarted")
+		p.a.manager.EntryGone(p.a.now(), p.last, "restarted")
 		p.last = p.e.inc
 	}
 	p.e.hear()
-	p.e.table.Linked(p.e.now(), p.a.inc, ident.UpstreamName(p.a.name), w.zoneOf(p.a))
+	p.e.table.HandleLinked(p.e.now(), p.a.inc, ident.UpstreamName(p.a.name), w.zoneOf(p.a))
 	p.a.greetCrashes(toEntry)
-	p.a.keeper.Linked(p.a.now(), p.e.inc)
+	p.a.manager.EntryLinked(p.a.now(), p.e.inc)
 	p.e.tellCordons(toAgent)
 	p.e.greetCrashes(toAgent)
 	p.a.tellCordons(toEntry)
@@ -146,7 +146,7 @@
 		}
 		if s.owner == &p.a.proc && p.a.links[&p.e.proc] == s {
 			delete(p.a.links, &p.e.proc)
-			p.a.keeper.Unlinked(p.a.now(), s.other.inc, "broken")
+			p.a.manager.EntryUnlinked(p.a.now(), s.other.inc, "broken")
 			p.a.flush()
 		}
 	})
--- a/internal/proof/schedule/process_test.go
+++ b/internal/proof/schedule/process_test.go
@@ -11,7 +11,7 @@
 	"hillreel/internal/core/ident"
 	"hillreel/internal/core/rule"
 	"hillreel/internal/entry/dispatch"
-	"hillreel/internal/kept/book"
+	"hillreel/internal/kept/owner"
 )
 
 // proc is what entries and agents have in common: they die, stand still and wake.
@@ -37,7 +37,7 @@
 // now is the process's clock.
 func (p *proc) now() time.Time {
 	now := p.w.Now().Add(-p.back)
-	if p.w.without.Off(rule.CountSuspensions) {
+	if p.w.without.Has(rule.CountSuspensions) {
 		return now.Add(-p.asleep)
 	}
 	return now
@@ -124,8 +124,8 @@
 // entryProc is an entry.
 type entryProc struct {
 	proc
-	table *dispatch.Table
-	book  *book.Book
+	table    *dispatch.Table
+	keptJobs *owner.Owner
 	// storeCut: the store is out of its reach.
 	storeCut bool
 	// storeSilent is from when on the store has not answered; zero is not.
@@ -146,18 +146,18 @@
 // agentProc is an agent.
 type agentProc struct {
 	proc
-	keeper   *upstream.Keeper
+	manager  *upstream.Controller
 	upstream *simUpstream
 	// cordons is what this life knows of cordons; cordonedAt is when it has learned that its zone is cordoned, zero while it is not, and
 	// begunAt when it began.
 	cordons             *cordon.Set
 	cordonedAt, begunAt time.Time
 	// crashes is what this life knows of crashes.
-	crashes *crash.Account
+	crashes *crash.Tracker
 	// disturbed is until when the agent is not in touch.
 	disturbed time.Time
 	// remembered outlasts the process, as its row in the store does.
-	remembered *lives.Known
+	remembered *lives.Snapshot
 	// rememberedCrashes does too, a write's time after they are known.
 	rememberedCrashes []fleet.Crash
 }
@@ -175,19 +175,19 @@
 	e.waiting, e.storeSilent = make(map[dispatch.CallerID]func(dispatch.Answer)), time.Time{}
 	o := dispatch.Options{Timing: timing, Zone: "z", MaxQueue: 100, MaxTasks: 100, Without: w.without}
 	e.table = dispatch.New(o, entryIO{e}, entryIO{e}, nobody{}, w.rng.Uint64())
-	e.book = book.New(book.Options{
-		Node: e.name, Incarnation: e.inc, Layout: layout, Lease: keptLease, Renew: keptRenew, Keep: time.Hour,
-		Settle: timing.SettleAfter(), Without: w.without, MaxRow: 1 << 16, Count: func(string) {}, Log: w.logOf(e.name),
+	e.keptJobs = owner.New(owner.Options{
+		Node: e.name, Incarnation: e.inc, Layout: layout, LeaseDuration: keptLease, RenewInterval: keptRenew, Retention: time.Hour,
+		SettleTime: timing.SettleAfter(), Without: w.without, MaxRow: 1 << 16, Count: func(string) {}, Log: w.logOf(e.name),
 	}, storeIO{e, e.inc}, e.table, entryIO{e}, entryIO{e}, e.now())
-	e.table.SetKeeper(e.book)
+	e.table.SetKeeper(e.keptJobs)
 	e.cordons = cordon.NewSet(w.without)
 	w.operators.read(&e.proc, func() bool { return e.storeCut }, e.adoptCordons)
-	e.tickNow, e.hear = e.passTime, func() { e.table.Hear(e.now()) }
+	e.tickNow, e.hear = e.passTime, func() { e.table.RecordContact(e.now()) }
 	e.ticking(e.inc)
 }
 
 func (e *entryProc) passTime() {
-	e.book.Tick(e.now())
+	e.keptJobs.Tick(e.now())
 	e.table.Tick(e.now())
 	for _, a := range e.w.agents {
 		s := e.links[&a.proc]
@@ -208,25 +208,25 @@
 
 // unlinked handles the end of a link.
 func (e *entryProc) unlinked(agent ident.Incarnation) {
-	e.table.Unlinked(e.now(), agent)
-	e.book.AgentLost(e.now(), agent)
+	e.table.HandleUnlinked(e.now(), agent)
+	e.keptJobs.HandleAgentLost(e.now(), agent)
 }
 
 func (e *entryProc) sendPing(s *linkSide, a *agentProc) {
 	s.ping = e.now()
 	echo, pace, inc := s.clock, e.table.Pace(), e.inc
-	s.send(func() { a.keeper.Ping(a.now(), inc, echo, pace); a.flush() })
+	s.send(func() { a.manager.Ping(a.now(), inc, echo, pace); a.flush() })
 }
 
 func (w *world) startAgent(a *agentProc) {
 	a.inc, a.alive, a.frozen, a.held = ident.Incarnation(w.rng.Uint64()), true, false, nil
 	a.asleep = 0
 	a.links = make(map[*proc]*linkSide)
-	a.keeper = upstream.New(timing, w.without, a.now(), agentIO{a, a.inc}, agentIO{a, a.inc}, agentNotes{a})
+	a.manager = upstream.New(timing, w.without, a.now(), agentIO{a, a.inc}, agentIO{a, a.inc}, agentNotes{a})
 	a.crashes = crash.New(w.without)
 	a.cordons, a.cordonedAt, a.begunAt = cordon.NewSet(w.without), time.Time{}, w.Now()
 	if w.odds.cordons {
-		a.keeper.SetZone(upstream.ZoneUnknown)
+		a.manager.SetZone(upstream.ZoneUnknown)
 	}
 	w.operators.read(&a.proc, func() bool { return false }, a.adoptCordons)
 	a.tickNow, a.hear = a.passTime, func() {}
@@ -234,25 +234,25 @@
 	a.recallCrashes()
 	if u := a.remembered; u != nil && (w.odds.restarts || w.odds.recalls) {
 		inc := a.inc
-		w.After(w.between(5*time.Millisecond, 200*time.Millisecond), func() { a.doIn(inc, func() { a.keeper.Recall(a.now(), *u); a.flush() }) })
+		w.After(w.between(5*time.Millisecond, 200*time.Millisecond), func() { a.doIn(inc, func() { a.manager.Recall(a.now(), *u); a.flush() }) })
 	}
 }
 
 func (a *agentProc) flush() {
-	a.keeper.Flush(a.now())
-	if u, known := a.keeper.Known(); known {
+	a.manager.Flush(a.now())
+	if u, known := a.manager.Snapshot(); known {
 		a.remembered = &u
 	}
 }
 
 func (a *agentProc) passTime() {
-	a.keeper.Tick(a.now())
+	a.manager.Tick(a.now())
 	for _, e := range a.w.entries {
 		s := a.links[&e.proc]
 		if s != nil && a.now().Sub(s.heard) > timing.Silence {
 			s.open = false
 			delete(a.links, &e.proc)
-			a.keeper.Unlinked(a.now(), s.other.inc, "silent")
+			a.manager.EntryUnlinked(a.now(), s.other.inc, "silent")
 		}
 	}
 	a.flush()
--- a/internal/proof/schedule/schedule_test.go
+++ b/internal/proof/schedule/schedule_test.go
@@ -112,12 +112,12 @@
 // atRest tells whether nothing is under way.
 func (w *world) atRest() bool {
 	for _, e := range w.entries {
-		if e.alive && e.table.Jobs()+e.book.Jobs() > 0 {
+		if e.alive && e.table.Jobs()+e.keptJobs.Len() > 0 {
 			return false
 		}
 	}
 	for _, a := range w.agents {
-		if a.alive && a.keeper.Runs()+len(a.upstream.ends)+len(a.upstream.runs) > 0 {
+		if a.alive && a.manager.RunCount()+len(a.upstream.ends)+len(a.upstream.runs) > 0 {
 			return false
 		}
 	}
@@ -137,7 +137,7 @@
 		}
 	}
 	for _, a := range w.agents {
-		if n := a.keeper.Runs(); n > 0 && a.alive {
+		if n := a.manager.RunCount(); n > 0 && a.alive {
 			w.violate("%s still counts %d runs", a.name, n)
 		}
 		if n := len(a.upstream.runs); n > 0 {
--- a/internal/proof/schedule/script_test.go
+++ b/internal/proof/schedule/script_test.go
@@ -140,7 +140,7 @@
 // arrive lets a request reach its entry.
 func (x *scripted) arrive(id, entry int) {
 	r := x.sent[sentTo(id, entry)]
-	r.e.do(func() { r.e.hear(); r.e.table.HearCaller(r.e.now()); r.e.take(r.s, r.a, r.caller) })
+	r.e.do(func() { r.e.hear(); r.e.table.RecordCallerContact(r.e.now()); r.e.take(r.s, r.a, r.caller) })
 }
 
 // runs tells whether a run of a job is at some upstream.
