--- a/internal/proof/schedule/store_test.go
+++ b/internal/proof/schedule/store_test.go
@@ -10,7 +10,7 @@
 	"hillreel/internal/core/ident"
 	"hillreel/internal/core/job"
 	"hillreel/internal/core/rows"
-	"hillreel/internal/kept/ledger"
+	"hillreel/internal/kept/jobstore"
 	"hillreel/internal/kept/record"
 	"hillreel/internal/standin/memory"
 )
@@ -109,14 +109,14 @@
 }
 
 // Away tells whether the store has not answered for a while.
-func (x storeIO) Away() bool {
+func (x storeIO) Unavailable() bool {
 	return !x.e.storeSilent.IsZero() && x.e.now().Sub(x.e.storeSilent) > time.Second
 }
 
 // Write carries out a write, again and again until it is certain what came of it.
-func (x storeIO) Write(op ledger.Op) { x.try(op, false) }
+func (x storeIO) Write(op jobstore.Op) { x.try(op, false) }
 
-func (x storeIO) try(op ledger.Op, doubt bool) {
+func (x storeIO) try(op jobstore.Op, doubt bool) {
 	w, s := x.e.w, x.e.w.store
 	if !x.e.alive || x.e.inc != x.inc {
 		return
@@ -130,13 +130,13 @@
 		doubt = doubt || !answered
 		switch {
 		case answered && !refused && done:
-			x.e.book.Written(x.e.now(), ledger.Result{ID: op.ID, Outcome: ledger.Done, Version: version})
+			x.e.keptJobs.HandleWriteResult(x.e.now(), jobstore.Result{ID: op.ID, Outcome: jobstore.Done, Version: version})
 		case answered && !refused:
 			x.look(op)
-		case !doubt && (op.Once || !op.Until.IsZero() && x.e.now().After(op.Until)):
-			x.e.book.Written(x.e.now(), ledger.Result{ID: op.ID, Outcome: ledger.Refused})
-		case op.Once:
-			x.e.book.Written(x.e.now(), ledger.Result{ID: op.ID, Outcome: ledger.Doubtful})
+		case !doubt && (op.NoRetry || !op.GiveUpAt.IsZero() && x.e.now().After(op.GiveUpAt)):
+			x.e.keptJobs.HandleWriteResult(x.e.now(), jobstore.Result{ID: op.ID, Outcome: jobstore.Refused})
+		case op.NoRetry:
+			x.e.keptJobs.HandleWriteResult(x.e.now(), jobstore.Result{ID: op.ID, Outcome: jobstore.Uncertain})
 		default:
 			w.After(storeRetry, func() { x.e.doIn(x.inc, func() { x.try(op, doubt) }) })
 		}
@@ -144,12 +144,12 @@
 }
 
 // look reads what is there when a condition does not hold.
-func (x storeIO) look(op ledger.Op) {
+func (x storeIO) look(op jobstore.Op) {
 	w, s := x.e.w, x.e.w.store
 	var found []rows.Row
 	x.call(func() {
 		found = nil
-		for _, k := range op.Look {
+		for _, k := range op.ReadOnConflict {
 			found = append(found, s.Rows[k])
 		}
 	}, func(answered, refused bool) {
@@ -157,7 +157,7 @@
 			w.After(storeRetry, func() { x.e.doIn(x.inc, func() { x.look(op) }) })
 			return
 		}
-		x.e.book.Written(x.e.now(), ledger.Result{ID: op.ID, Outcome: ledger.Conflict, Found: found})
+		x.e.keptJobs.HandleWriteResult(x.e.now(), jobstore.Result{ID: op.ID, Outcome: jobstore.Conflict, Found: found})
 	})
 }
 
@@ -168,7 +168,7 @@
 	w, sent := x.e.w, x.e.now()
 	var page rows.Page
 	x.call(func() { page = w.store.list(record.Leases) }, func(answered, refused bool) {
-		x.e.book.LeasesRead(x.e.now(), sent, page, unless(answered && !refused))
+		x.e.keptJobs.HandleLeases(x.e.now(), sent, page, unless(answered && !refused))
 	})
 }
 
@@ -186,11 +186,11 @@
 	var open, leases rows.Page
 	x.call(func() { open = w.store.list(record.OpenRows("").Table) }, func(answered, refused bool) {
 		if !answered || refused {
-			x.e.book.Scanned(x.e.now(), nil, leases, errAway)
+			x.e.keptJobs.HandleScan(x.e.now(), nil, leases, errAway)
 			return
 		}
 		x.call(func() { leases = w.store.list(record.Leases) }, func(answered, refused bool) {
-			x.e.book.Scanned(x.e.now(), open.Rows, leases, unless(answered && !refused))
+			x.e.keptJobs.HandleScan(x.e.now(), open.Rows, leases, unless(answered && !refused))
 		})
 	})
 }
@@ -204,27 +204,29 @@
 		for _, id := range ids {
 			found = append(found, w.store.Rows[layout.JobKey(id)])
 		}
-	}, func(answered, refused bool) { x.e.book.Fetched(x.e.now(), ids, found, unless(answered && !refused)) })
+	}, func(answered, refused bool) {
+		x.e.keptJobs.HandleFetch(x.e.now(), ids, found, unless(answered && !refused))
+	})
 }
 
 // Look reads the rows of an open and of an ended job.
-func (x storeIO) Look(id job.ID) {
+func (x storeIO) LookUp(id job.ID) {
 	var open, ended rows.Row
 	x.call(func() { open, ended = x.e.w.store.Rows[layout.OpenKey(id)], x.e.w.store.Rows[layout.EndedKey(id)] }, func(answered, refused bool) {
-		x.e.book.Looked(id, open, ended, unless(answered && !refused))
+		x.e.keptJobs.HandleLookUp(id, open, ended, unless(answered && !refused))
 	})
 }
 
 // announceCancel tells all entries of a cancellation, as the feed of its table does.
 func (w *world) announceCancel(k rows.Key) {
-	id, err := record.JobOf(k)
+	id, err := record.ParseJobID(k)
 	if err != nil {
 		w.violate("a row that can't be read: %v", err)
 	}
 	for _, e := range w.entries {
 		inc := e.inc
 		w.After(w.between(time.Millisecond, 50*time.Millisecond), func() {
-			e.doIn(inc, func() { e.book.CancelledElsewhere(e.now(), []job.ID{id}) })
+			e.doIn(inc, func() { e.keptJobs.HandleRemoteCancellations(e.now(), []job.ID{id}) })
 		})
 	}
 }
--- a/internal/proof/schedule/upstream_test.go
+++ b/internal/proof/schedule/upstream_test.go
@@ -25,7 +25,7 @@
 	run  job.Run
 	from time.Time
 	work time.Duration
-	how  call.How
+	how  call.Result
 	// hang: it never gets on.
 	hang     bool
 	stopping bool
@@ -116,13 +116,13 @@
 // sendBeat sends one heartbeat.
 func (u *simUpstream) sendBeat() {
 	u.beats++
-	b := lives.Beat{
+	b := lives.Heartbeat{
 		Upstream: fleet.Upstream{ID: u.id, Service: service, Total: u.room}, Sequence: u.beats, Clock: u.clock(), Born: u.told, Draining: u.leaving,
 	}
 	life := u.life
 	arrive := func() {
 		u.agent.do(func() {
-			u.agent.keeper.Beat(u.agent.now(), b)
+			u.agent.manager.Heartbeat(u.agent.now(), b)
 			if u.w.odds.restarts {
 				u.agent.flush()
 			}
@@ -160,7 +160,7 @@
 		if u.life != life || !u.up {
 			return
 		}
-		u.w.After(u.w.between(0, 2*down), func() { u.agent.do(func() { u.agent.keeper.Left(u.agent.now(), id) }) })
+		u.w.After(u.w.between(0, 2*down), func() { u.agent.do(func() { u.agent.manager.UpstreamLeft(u.agent.now(), id) }) })
 		u.crash(down)
 	})
 }
@@ -178,7 +178,7 @@
 		return
 	}
 	for _, r := range u.list() {
-		u.finish(r, call.HowLapsed)
+		u.finish(r, call.ResultLapsed)
 	}
 }
 
@@ -215,22 +215,22 @@
 }
 
 // finish ends a run. What has not ended when the lease is over has lapsed, also in the millisecond before lapse is called.
-func (u *simUpstream) finish(r *simRun, how call.How) {
+func (u *simUpstream) finish(r *simRun, how call.Result) {
 	if u.runs[r.task] != r {
 		return
 	}
 	if u.clock() > u.until {
-		how = call.HowLapsed
+		how = call.ResultLapsed
 	}
 	delete(u.runs, r.task)
 	u.past[r.task] = max(u.past[r.task], r.run)
 	u.n++
-	u.ends = append(u.ends, simEnd{call.Finished{N: u.n, Task: r.task, Run: r.run, How: how, Checkpoint: checkpointOf(r.task)}, u.w.Now()})
+	u.ends = append(u.ends, simEnd{call.Finished{Number: u.n, Task: r.task, Run: r.run, Result: how, Checkpoint: checkpointOf(r.task)}, u.w.Now()})
 	u.w.note("%s run %d of %v ended %s", u.id, r.run, r.task, how)
-	if how == call.HowFailed {
+	if how == call.ResultFailed {
 		u.w.jobs[r.task.Job].tasks[r.task.Index].failed++
 	}
-	if how == call.HowDone {
+	if how == call.ResultDone {
 		u.w.jobs[r.task.Job].done(r.task)
 	}
 	waiters := u.waiters
@@ -264,9 +264,9 @@
 		u.w.violate("%v starts though its caller was told that it has not run and never will", task)
 	}
 	s.starts(task)
-	r := &simRun{task: task, run: run, from: u.w.Now(), work: s.tasks[task.Index].work, how: call.HowDone}
+	r := &simRun{task: task, run: run, from: u.w.Now(), work: s.tasks[task.Index].work, how: call.ResultDone}
 	if u.w.chance(u.fails) || s.poison {
-		r.how, r.work = call.HowFailed, r.work/4
+		r.how, r.work = call.ResultFailed, r.work/4
 	}
 	if u.slow > 0 {
 		r.work = time.Duration(float64(r.work) * u.slow)
@@ -297,10 +297,10 @@
 	if a := u.admits(c.Header); a != call.OK {
 		return a
 	}
-	if c.Until <= u.clock() {
+	if c.LeaseUntil <= u.clock() {
 		return call.Declined
 	}
-	u.lease(c.Until)
+	u.lease(c.LeaseUntil)
 	if r := u.runs[c.Task]; r != nil && r.run == c.Run {
 		return call.OK
 	}
@@ -319,14 +319,14 @@
 	u.past[c.Task] = max(u.past[c.Task], c.Run)
 	if r := u.runs[c.Task]; r != nil && r.run <= c.Run && !r.stopping {
 		r.stopping = true
-		u.w.After(u.w.between(0, 50*time.Millisecond), func() { u.finish(r, call.HowStopped) })
+		u.w.After(u.w.between(0, 50*time.Millisecond), func() { u.finish(r, call.ResultStopped) })
 	}
 	return call.OK
 }
 
 // held answers a hold.
-func (u *simUpstream) held() call.Held {
-	h := call.Held{Answer: call.OK, Clock: u.clock(), Born: u.told}
+func (u *simUpstream) held() call.HoldResult {
+	h := call.HoldResult{Answer: call.OK, Clock: u.clock(), Born: u.told}
 	for _, e := range u.ends {
 		h.Finished = append(h.Finished, e.Finished)
 	}
@@ -335,21 +335,21 @@
 		if !r.hang {
 			percent = min(int(100*u.w.Now().Sub(r.from)/r.work), 99)
 		}
-		h.Running = append(h.Running, call.Listed{Task: r.task, Run: r.run, Checkpoint: checkpointOf(r.task), Percent: percent})
+		h.Running = append(h.Running, call.Running{Task: r.task, Run: r.run, Checkpoint: checkpointOf(r.task), Percent: percent})
 	}
 	return h
 }
 
-func (u *simUpstream) hold(c call.Hold, answer func(call.Held)) {
+func (u *simUpstream) hold(c call.Hold, answer func(call.HoldResult)) {
 	if a := u.admits(c.Header); a != call.OK {
-		answer(call.Held{Answer: a})
+		answer(call.HoldResult{Answer: a})
 		return
 	}
-	for len(u.ends) > 0 && u.ends[0].N <= c.Seen {
+	for len(u.ends) > 0 && u.ends[0].Number <= c.Seen {
 		u.forgets(u.ends[0])
 		u.ends = u.ends[1:]
 	}
-	u.lease(c.Until)
+	u.lease(c.LeaseUntil)
 	if len(u.ends) > 0 || c.Wait == 0 {
 		answer(u.held())
 		return
--- a/internal/proof/schedule/words_test.go
+++ b/internal/proof/schedule/words_test.go
@@ -28,38 +28,38 @@
 func (x entryIO) Order(agent ident.Incarnation, o fleet.Order) {
 	if s, a := x.linkTo(agent); s != nil {
 		inc := x.e.inc
-		s.send(func() { a.keeper.Order(a.now(), inc, o); a.flush() })
+		s.send(func() { a.manager.Order(a.now(), inc, o); a.flush() })
 	}
 }
 
 func (x entryIO) Stop(agent ident.Incarnation, r fleet.OrderedRun, why fleet.Reason) {
 	if s, a := x.linkTo(agent); s != nil {
 		inc := x.e.inc
-		s.send(func() { a.keeper.StopTask(a.now(), inc, r, why); a.flush() })
+		s.send(func() { a.manager.StopTask(a.now(), inc, r, why); a.flush() })
 	}
 }
 
-func (x entryIO) Holding(agent ident.Incarnation, jobs []job.ID) {
+func (x entryIO) AnnounceHeld(agent ident.Incarnation, jobs []job.ID) {
 	if s, a := x.linkTo(agent); s != nil {
 		inc := x.e.inc
-		s.send(func() { a.keeper.Holding(a.now(), inc, jobs) })
+		s.send(func() { a.manager.Holding(a.now(), inc, jobs) })
 	}
 }
 
-func (x entryIO) Release(agent ident.Incarnation, id job.ID, holder ident.Incarnation) {
+func (x entryIO) RequestRelease(agent ident.Incarnation, id job.ID, holder ident.Incarnation) {
 	if s, a := x.linkTo(agent); s != nil {
-		t := fleet.Takeover{Job: id, Holder: holder, By: x.e.inc}
-		s.send(func() { a.keeper.Release(a.now(), t); a.flush() })
+		t := fleet.Takeover{Job: id, Holder: holder, NewHolder: x.e.inc}
+		s.send(func() { a.manager.Release(a.now(), t); a.flush() })
 	}
 }
 
-func (x entryIO) Released(agent ident.Incarnation, r fleet.Released) {
+func (x entryIO) SendReleased(agent ident.Incarnation, r fleet.Released) {
 	if s, a := x.linkTo(agent); s != nil {
-		s.send(func() { a.keeper.Released(r) })
+		s.send(func() { a.manager.Released(r) })
 	}
 }
 
-func (x entryIO) Crashes(all []fleet.Crash) {
+func (x entryIO) SendCrashes(all []fleet.Crash) {
 	for _, a := range x.e.w.agents {
 		if side := x.e.links[&a.proc]; side != nil {
 			side.send(func() { a.tellCrashes(x.e, all, nil) })
@@ -77,16 +77,16 @@
 	return out
 }
 
-func (x entryIO) Noted(agent ident.Incarnation, runs []fleet.RunRef, void bool) {
+func (x entryIO) Acknowledge(agent ident.Incarnation, runs []fleet.RunRef, void bool) {
 	if s, a := x.linkTo(agent); s != nil {
-		s.send(func() { a.keeper.Noted(runs, void); a.flush() })
+		s.send(func() { a.manager.ResolveEnds(runs, void); a.flush() })
 	}
 }
 
 func (x entryIO) Ask(agent ident.Incarnation, number uint64, jobs []job.ID) {
 	if s, a := x.linkTo(agent); s != nil {
 		inc := x.e.inc
-		s.send(func() { a.keeper.Ask(a.now(), inc, number, jobs); a.flush() })
+		s.send(func() { a.manager.QueryEnds(a.now(), inc, number, jobs); a.flush() })
 	}
 }
 
@@ -114,7 +114,7 @@
 	u := x.a.upstream
 	x.a.w.sliced.leave(&x.a.proc, func() {
 		u.order(func() call.Answer { return u.start(c) }, func(a call.Answer, clock call.Clock) {
-			x.back(func() { x.a.keeper.StartDone(x.a.now(), c, a, clock) })
+			x.back(func() { x.a.manager.StartDone(x.a.now(), c, a, clock) })
 		})
 	})
 }
@@ -123,7 +123,7 @@
 	u := x.a.upstream
 	x.a.w.sliced.leave(&x.a.proc, func() {
 		u.order(func() call.Answer { return u.stop(c) }, func(a call.Answer, clock call.Clock) {
-			x.back(func() { x.a.keeper.StopDone(x.a.now(), c, a, clock) })
+			x.back(func() { x.a.manager.StopDone(x.a.now(), c, a, clock) })
 		})
 	})
 }
@@ -133,19 +133,19 @@
 func (x agentIO) hold(c call.Hold) {
 	u, w := x.a.upstream, x.a.w
 	answered := false
-	reply := func(h call.Held) {
+	reply := func(h call.HoldResult) {
 		if !answered {
 			answered = true
-			x.back(func() { x.a.keeper.HoldDone(x.a.now(), c, h) })
+			x.back(func() { x.a.manager.HoldDone(x.a.now(), c, h) })
 		}
 	}
-	w.After(c.Wait+callTimeout, func() { reply(call.Held{Answer: call.Unanswered}) })
+	w.After(c.Wait+callTimeout, func() { reply(call.HoldResult{Answer: call.Unanswered}) })
 	lost := w.chance(u.loses / 4)
 	w.After(w.calls.way(u, w.between(100*time.Microsecond, 2*time.Millisecond)), func() {
 		if !u.up || u.cut {
 			return
 		}
-		u.hold(c, func(h call.Held) {
+		u.hold(c, func(h call.HoldResult) {
 			if lost || u.cut {
 				return
 			}
@@ -175,7 +175,7 @@
 }
 
 func (x agentIO) Upstream(to ident.Incarnation, u fleet.Upstream) {
-	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.Upstream(e.now(), x.inc, u) })
+	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.HandleUpstream(e.now(), x.inc, u) })
 }
 
 func (x agentIO) Room(to ident.Incarnation, r fleet.Room) {
@@ -185,112 +185,112 @@
 		if first {
 			e.sendPing(s, x.a)
 		}
-		e.table.Room(e.now(), x.inc, r)
+		e.table.HandleRoom(e.now(), x.inc, r)
 	})
 }
 
 func (x agentIO) End(to ident.Incarnation, e fleet.End) {
 	x.tell(to, func(p *entryProc, _ *linkSide) {
-		if !p.table.Ended(p.now(), x.inc, e) && e.Kept {
-			p.book.StrayEnd(p.now(), x.inc, e)
+		if !p.table.HandleEnd(p.now(), x.inc, e) && e.Kept {
+			p.keptJobs.HandleStrayEnd(p.now(), x.inc, e)
 		}
 	})
 }
 
 func (x agentIO) Progress(to ident.Incarnation, runs []fleet.Progress) {
-	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.Progress(e.now(), x.inc, runs) })
+	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.HandleProgress(e.now(), x.inc, runs) })
 }
 
 func (x agentIO) Resumed(to ident.Incarnation, runs []fleet.OrderedRun) {
-	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.Resumed(x.inc, runs) })
+	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.HandleResumed(x.inc, runs) })
 }
 
-func (x agentIO) Asked(to ident.Incarnation, number uint64) {
-	x.tell(to, func(p *entryProc, _ *linkSide) { p.book.Asked(p.now(), x.inc, number) })
+func (x agentIO) EndsSent(to ident.Incarnation, number uint64) {
+	x.tell(to, func(p *entryProc, _ *linkSide) { p.keptJobs.HandleEndsReported(p.now(), x.inc, number) })
 }
 
 func (x agentIO) Holding(to, holder ident.Incarnation, jobs []job.ID) {
-	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.Holding(e.now(), holder, jobs) })
+	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.HandleHeld(e.now(), holder, jobs) })
 }
 
 func (x agentIO) Release(t fleet.Takeover) {
-	x.tell(t.Holder, func(e *entryProc, _ *linkSide) { e.table.GiveUp(e.now(), x.inc, t) })
+	x.tell(t.Holder, func(e *entryProc, _ *linkSide) { e.table.HandleTakeover(e.now(), x.inc, t) })
 }
 
 func (x agentIO) Released(r fleet.Released) {
-	x.tell(r.By, func(e *entryProc, _ *linkSide) { e.table.Released(e.now(), x.inc, r) })
+	x.tell(r.NewHolder, func(e *entryProc, _ *linkSide) { e.table.HandleReleased(e.now(), x.inc, r) })
 }
 
 func (x agentIO) Settled(to ident.Incarnation) {
-	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.Settled(e.now(), x.inc) })
+	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.HandleSettled(e.now(), x.inc) })
 }
 
-func (x agentIO) Lost(l upstream.Loss) {
+func (x agentIO) UpstreamLost(l upstream.Loss) {
 	x.a.tellCrashes(nil, l.Crashes(ident.UpstreamName(x.a.name)), nil)
 }
 
-func (x agentIO) Refuted(r fleet.Refutation) {
+func (x agentIO) LossRefuted(r fleet.Refutation) {
 	x.a.tellCrashes(nil, nil, []fleet.Refutation{r})
 }
 
 // nobody observes nothing.
 type nobody struct{}
 
-func (nobody) Placed(job.ID, ident.UpstreamName, *fleet.Order, time.Duration)             {}
-func (nobody) Ended(ident.UpstreamName, fleet.End, string)                                {}
-func (nobody) Answered(job.ID, *route.Route, dispatch.Answer, dispatch.Summary)           {}
-func (nobody) AgentChanged(ident.UpstreamName, int, dispatch.AgentEvent)                  {}
-func (nobody) Taken(*dispatch.Request)                                                    {}
-func (nobody) StopsAsked(dispatch.Stops)                                                  {}
-func (nobody) CameAgain(*dispatch.Request, dispatch.Holding)                              {}
-func (nobody) OutOfTouch(time.Duration, int)                                              {}
-func (nobody) Belated(*dispatch.Request)                                                  {}
-func (nobody) TakenOver(job.ID, ident.Incarnation, time.Duration, dispatch.TakeoverEvent) {}
+func (nobody) Placed(job.ID, ident.UpstreamName, *fleet.Order, time.Duration)                   {}
+func (nobody) Ended(ident.UpstreamName, fleet.End, string)                                      {}
+func (nobody) Answered(job.ID, *route.Route, dispatch.Answer, dispatch.Summary)                 {}
+func (nobody) AgentChanged(ident.UpstreamName, int, dispatch.AgentEvent)                        {}
+func (nobody) Taken(*dispatch.Request)                                                          {}
+func (nobody) StopsRequested(dispatch.Stops)                                                    {}
+func (nobody) Resubmitted(*dispatch.Request, dispatch.HeldJob)                                  {}
+func (nobody) OutOfTouch(time.Duration, int)                                                    {}
+func (nobody) Belated(*dispatch.Request)                                                        {}
+func (nobody) TakeoverChanged(job.ID, ident.Incarnation, time.Duration, dispatch.TakeoverEvent) {}
 
 // agentNotes notes what an agent decides.
 type agentNotes struct{ a *agentProc }
 
-func (n agentNotes) Ended(e upstream.Ending) {
+func (n agentNotes) RunEnded(e upstream.Ending) {
 	if e.Outcome != job.Done {
 		n.a.w.note("%s: run %d of %v is %s %s", n.a.name, e.Run, e.Task, e.Outcome, e.Reason)
 	}
 }
 
-func (n agentNotes) State(from, to fleet.State, why string) {
+func (n agentNotes) StateChanged(from, to fleet.State, why string) {
 	n.a.w.note("%s: %s after %s, %s", n.a.name, to, from, why)
 }
 
-func (n agentNotes) Lapsed(time.Duration) {}
+func (n agentNotes) LeaseLapsed(time.Duration) {}
 
-func (n agentNotes) Unconfirmed(ident.Incarnation, []fleet.End) {}
+func (n agentNotes) EndsUnconfirmed(ident.Incarnation, []fleet.End) {}
 
-func (n agentNotes) Orphaned(_ ident.Incarnation, runs int, why string, _ time.Duration) {
+func (n agentNotes) RunsOrphaned(_ ident.Incarnation, runs int, why string, _ time.Duration) {
 	n.a.w.note("%s: %d runs of an entry that is %s", n.a.name, runs, why)
 }
 
-func (n agentNotes) Outlived(id, by ident.UpstreamLife) {
+func (n agentNotes) HeartbeatOutlived(id, by ident.UpstreamLife) {
 	n.a.w.note("%s: a late heartbeat of %s while %s lives", n.a.name, id, by)
 }
 
-func (n agentNotes) Begun(life ident.UpstreamLife, why string, _ bool) {
+func (n agentNotes) LifeBegun(life ident.UpstreamLife, why string, _ bool) {
 	n.a.w.note("%s: takes up %s by its %s", n.a.name, life, why)
 }
 
-func (n agentNotes) Dropped(b lives.Beat, newest uint64) {
+func (n agentNotes) HeartbeatDropped(b lives.Heartbeat, newest uint64) {
 	n.a.w.note("%s: heartbeat %d of %s comes after %d", n.a.name, b.Sequence, b.ID, newest)
 }
 
-func (n agentNotes) Gated(task job.TaskID, _ ident.Incarnation) {
+func (n agentNotes) OrderGated(task job.TaskID, _ ident.Incarnation) {
 	n.a.w.note("%s: %v is refused, its zone is cordoned", n.a.name, task)
 }
-func (n agentNotes) Overtaken() {}
+func (n agentNotes) ListingOvertaken() {}
 
-func (n agentNotes) Stray(fleet.RunRef, upstream.StrayEvent) {}
+func (n agentNotes) StrayChanged(fleet.RunRef, upstream.StrayEvent) {}
 
-func (n agentNotes) Lost(l upstream.Loss) {
+func (n agentNotes) UpstreamLost(l upstream.Loss) {
 	n.a.w.note("%s: %v is lost (%s) with %v", n.a.name, l.Life, l.Why, l.Runs)
 }
 
-func (n agentNotes) Unsure(task job.TaskID, run job.Run) {
+func (n agentNotes) StartUnsure(task job.TaskID, run job.Run) {
 	n.a.w.note("%s: run %d of %v may have started", n.a.name, run, task)
 }
--- a/internal/standin/embedded/embedded.go
+++ b/internal/standin/embedded/embedded.go
@@ -95,7 +95,7 @@
 
 func (s *Set) start() error {
 	s.Configure(1)
-	s.store = web.New("the store", freeAddress(), s.Store.Handler(), web.Small)
+	s.store = web.New("the store", freeAddress(), s.Store.Handler(), web.Internal)
 	if err := s.serve(s.store); err != nil {
 		return err
 	}
@@ -212,13 +212,13 @@
 	})
 	s.stops = append(s.stops, u.Close)
 	s.Upstreams = append(s.Upstreams, u)
-	if err := s.serve(web.New("the upstream", set.Agent.Upstream, u.Handler(), web.Small)); err != nil {
+	if err := s.serve(web.New("the upstream", set.Agent.Upstream, u.Handler(), web.Internal)); err != nil {
 		return err
 	}
 	calls := platform.NewUpstream(ident.Address(s.through(PathUpstream, set.Agent.Upstream)), set.Agent.Connections, set.Agent.CallTimeout)
 	p, err := agent.New(set, agent.Deps{
 		Store: s.client(set), Upstream: calls, Cordons: platform.Cordons, Dial: session.TCP, Log: log,
-		Beats: func(n *agentnode.Node) http.Handler { return platform.Beats(n, s.o.Service, log) },
+		Heartbeats: func(n *agentnode.Node) http.Handler { return platform.Beats(n, s.o.Service, log) },
 	})
 	if err != nil {
 		return err
