--- a/internal/core/crash/crash_test.go
+++ b/internal/core/crash/crash_test.go
@@ -19,33 +19,33 @@
 	start = time.Unix(1000, 0)
 )
 
-// beside is a crash while a task ran beside others, alone one while it was alone; each on a VM of its own unless two share a name.
-func beside(vm, life string, after time.Duration) fleet.Crash {
-	return fleet.Crash{Task: task, VM: ident.UpstreamName(vm), Life: ident.UpstreamLife{ID: ident.UpstreamID(life)}, Loss: 1, Age: after}
+// besideOthers returns a crash at which the task ran beside others, alone one at which it was the only task. Each VM name is another VM.
+func besideOthers(vm, life string, age time.Duration) fleet.Crash {
+	return fleet.Crash{Task: task, VM: ident.UpstreamName(vm), Life: ident.UpstreamLife{ID: ident.UpstreamID(life)}, Loss: 1, Age: age}
 }
 
-func alone(vm, life string, after time.Duration) fleet.Crash {
-	c := beside(vm, life, after)
+func alone(vm, life string, age time.Duration) fleet.Crash {
+	c := besideOthers(vm, life, age)
 	c.Alone, c.OnlyTask = true, true
 	return c
 }
 
-// aloneBeside is a crash while a task was alone, beside older ones.
-func aloneBeside(vm, life string, after time.Duration) fleet.Crash {
-	c := alone(vm, life, after)
+// aloneBesideOlder returns a crash at which the task was alone, with older tasks remaining on the upstream.
+func aloneBesideOlder(vm, life string, age time.Duration) fleet.Crash {
+	c := alone(vm, life, age)
 	c.OnlyTask = false
 	return c
 }
 
-// withAgent is a crash that no agent has told of.
+// withAgent returns the crash of an upstream that was lost with its agent, so that the age of the run is unknown.
 func withAgent(vm, life string) fleet.Crash {
-	c := beside(vm, life, 0)
+	c := besideOthers(vm, life, 0)
 	c.Loss = 0
 	return c
 }
 
-// whileLost returns an account of so many upstreams, others of which were lost to other causes.
-func whileLost(upstreams, others int) *crash.Tracker {
+// newWithLosses returns a Tracker of a number of upstreams, some of which were lost to other causes.
+func newWithLosses(upstreams, others int) *crash.Tracker {
 	a := crash.New(nil)
 	a.SetUpstreamCount(upstreams)
 	for i := range others {
@@ -67,49 +67,49 @@
 		want crash.Finding
 	}{
 		{"nothing", nil, crash.Unsuspected},
-		{"young at one crash", []fleet.Crash{beside("a", "a1", 10*ms)}, crash.Suspected},
-		{"old at one crash", []fleet.Crash{beside("a", "a1", late)}, crash.Unsuspected},
-		{"old at two, at one point", []fleet.Crash{beside("a", "a1", late), beside("b", "b1", late+50*ms)}, crash.Suspected},
-		{"old at two, at different points", []fleet.Crash{beside("a", "a1", late), beside("b", "b1", 20*late)}, crash.Unsuspected},
-		{"young, and older later", []fleet.Crash{beside("a", "a1", 10*ms), beside("b", "b1", late)}, crash.Unsuspected},
-		{"older, and young later", []fleet.Crash{beside("a", "a1", late), beside("b", "b1", 10*ms)}, crash.Suspected},
-		{"young, older later, and young again", []fleet.Crash{beside("a", "a1", 10*ms), beside("b", "b1", late), beside("c", "c1", 10*ms)}, crash.Suspected},
-		{"young at two, and a little older, as ages may be wrong", []fleet.Crash{beside("a", "a1", 10*ms), beside("b", "b1", 80*ms)}, crash.Suspected},
-		{"beside others at four", []fleet.Crash{beside("a", "a1", ms), beside("b", "b1", ms), beside("c", "c1", ms), beside("d", "d1", ms)}, crash.Suspected},
-		{"alone at one", []fleet.Crash{beside("a", "a1", ms), alone("b", "b1", ms)}, crash.Suspected},
-		{"alone at two", []fleet.Crash{beside("a", "a1", ms), alone("b", "b1", ms), alone("c", "c1", 9*ms)}, crash.Proven},
+		{"young at one crash", []fleet.Crash{besideOthers("a", "a1", 10*ms)}, crash.Suspected},
+		{"old at one crash", []fleet.Crash{besideOthers("a", "a1", late)}, crash.Unsuspected},
+		{"old at two, at one point", []fleet.Crash{besideOthers("a", "a1", late), besideOthers("b", "b1", late+50*ms)}, crash.Suspected},
+		{"old at two, at different points", []fleet.Crash{besideOthers("a", "a1", late), besideOthers("b", "b1", 20*late)}, crash.Unsuspected},
+		{"young, and older later", []fleet.Crash{besideOthers("a", "a1", 10*ms), besideOthers("b", "b1", late)}, crash.Unsuspected},
+		{"older, and young later", []fleet.Crash{besideOthers("a", "a1", late), besideOthers("b", "b1", 10*ms)}, crash.Suspected},
+		{"young, older later, and young again", []fleet.Crash{besideOthers("a", "a1", 10*ms), besideOthers("b", "b1", late), besideOthers("c", "c1", 10*ms)}, crash.Suspected},
+		{"young at two, and a little older, as ages may be wrong", []fleet.Crash{besideOthers("a", "a1", 10*ms), besideOthers("b", "b1", 80*ms)}, crash.Suspected},
+		{"beside others at four", []fleet.Crash{besideOthers("a", "a1", ms), besideOthers("b", "b1", ms), besideOthers("c", "c1", ms), besideOthers("d", "d1", ms)}, crash.Suspected},
+		{"alone at one", []fleet.Crash{besideOthers("a", "a1", ms), alone("b", "b1", ms)}, crash.Suspected},
+		{"alone at two", []fleet.Crash{besideOthers("a", "a1", ms), alone("b", "b1", ms), alone("c", "c1", 9*ms)}, crash.Proven},
 		{"lost with its agent", []fleet.Crash{withAgent("a", "a1")}, crash.Suspected},
-		{"lost with its agent, and old at another", []fleet.Crash{withAgent("a", "a1"), beside("b", "b1", late)}, crash.Suspected},
-		{"alone at two, beside older ones", []fleet.Crash{aloneBeside("b", "b1", ms), aloneBeside("c", "c1", 9*ms)}, crash.Proven},
-		{"alone at two, late, beside older ones", []fleet.Crash{aloneBeside("b", "b1", late), aloneBeside("c", "c1", late)}, crash.Suspected},
-		{"alone at two, late, beside older ones at one", []fleet.Crash{aloneBeside("b", "b1", late), alone("c", "c1", late)}, crash.Suspected},
+		{"lost with its agent, and old at another", []fleet.Crash{withAgent("a", "a1"), besideOthers("b", "b1", late)}, crash.Suspected},
+		{"alone at two, beside older ones", []fleet.Crash{aloneBesideOlder("b", "b1", ms), aloneBesideOlder("c", "c1", 9*ms)}, crash.Proven},
+		{"alone at two, late, beside older ones", []fleet.Crash{aloneBesideOlder("b", "b1", late), aloneBesideOlder("c", "c1", late)}, crash.Suspected},
+		{"alone at two, late, beside older ones at one", []fleet.Crash{aloneBesideOlder("b", "b1", late), alone("c", "c1", late)}, crash.Suspected},
 		{"alone at two, late, beside older ones at one, and beside others at two", []fleet.Crash{
-			beside("x", "x1", late), beside("y", "y1", late), aloneBeside("b", "b1", late), alone("c", "c1", late),
+			besideOthers("x", "x1", late), besideOthers("y", "y1", late), aloneBesideOlder("b", "b1", late), alone("c", "c1", late),
 		}, crash.Proven},
 		{"alone at two, late, beside older ones at one, and beside others at one, close", []fleet.Crash{
-			beside("x", "x1", late), aloneBeside("b", "b1", late), alone("c", "c1", late+10*ms),
+			besideOthers("x", "x1", late), aloneBesideOlder("b", "b1", late), alone("c", "c1", late+10*ms),
 		}, crash.Proven},
 		{"alone at two, late, beside older ones at one, and beside others at one, not close", []fleet.Crash{
-			beside("x", "x1", late), aloneBeside("b", "b1", late), alone("c", "c1", late+20*ms),
+			besideOthers("x", "x1", late), aloneBesideOlder("b", "b1", late), alone("c", "c1", late+20*ms),
 		}, crash.Suspected},
-		{"alone at three, late, beside older ones", []fleet.Crash{aloneBeside("b", "b1", late), aloneBeside("c", "c1", late), aloneBeside("d", "d1", late)}, crash.Proven},
+		{"alone at three, late, beside older ones", []fleet.Crash{aloneBesideOlder("b", "b1", late), aloneBesideOlder("c", "c1", late), aloneBesideOlder("d", "d1", late)}, crash.Proven},
 		{"alone at two, at different points", []fleet.Crash{alone("b", "b1", ms), alone("c", "c1", 80*ms)}, crash.Suspected},
 		{"alone at two, the first point outlived", []fleet.Crash{alone("b", "b1", ms), alone("c", "c1", 100*ms)}, crash.Unsuspected},
 		{"alone at two, late", []fleet.Crash{alone("b", "b1", late), alone("c", "c1", late+20*ms)}, crash.Proven},
 		{"alone at two, late, at different points", []fleet.Crash{alone("b", "b1", late), alone("c", "c1", later)}, crash.Unsuspected},
 		{"alone at two on one VM", []fleet.Crash{alone("b", "b1", ms), alone("b", "b2", ms)}, crash.Suspected},
-		{"alone at two on one VM, beside others on another", []fleet.Crash{beside("a", "a1", ms), alone("b", "b1", ms), alone("b", "b2", ms)}, crash.Proven},
+		{"alone at two on one VM, beside others on another", []fleet.Crash{besideOthers("a", "a1", ms), alone("b", "b1", ms), alone("b", "b2", ms)}, crash.Proven},
 		{"alone at four on one VM", []fleet.Crash{alone("b", "b1", ms), alone("b", "b2", ms), alone("b", "b3", ms), alone("b", "b4", ms)}, crash.Proven},
-		{"alone at three on one VM, beside others there", []fleet.Crash{beside("b", "b0", ms), alone("b", "b1", ms), alone("b", "b2", ms), alone("b", "b3", ms)}, crash.Suspected},
+		{"alone at three on one VM, beside others there", []fleet.Crash{besideOthers("b", "b0", ms), alone("b", "b1", ms), alone("b", "b2", ms), alone("b", "b3", ms)}, crash.Suspected},
 		{"alone at three on one VM, beside others there twice", []fleet.Crash{
-			beside("b", "b0", ms), beside("b", "b00", ms), alone("b", "b1", ms), alone("b", "b2", ms), alone("b", "b3", ms),
+			besideOthers("b", "b0", ms), besideOthers("b", "b00", ms), alone("b", "b1", ms), alone("b", "b2", ms), alone("b", "b3", ms),
 		}, crash.Proven},
 		{"alone at four on one VM, late", []fleet.Crash{alone("b", "b1", late), alone("b", "b2", late), alone("b", "b3", late), alone("b", "b4", late)}, crash.Suspected},
 		{"alone at two, late, beside older ones, and lost with agents twice", []fleet.Crash{
-			withAgent("x", "x1"), withAgent("y", "y1"), aloneBeside("b", "b1", late), aloneBeside("c", "c1", late),
+			withAgent("x", "x1"), withAgent("y", "y1"), aloneBesideOlder("b", "b1", late), aloneBesideOlder("c", "c1", late),
 		}, crash.Proven},
 		{"alone at one, late, and lost with agents thrice", []fleet.Crash{withAgent("x", "x1"), withAgent("y", "y1"), withAgent("z", "z1"), alone("b", "b1", late)}, crash.Suspected},
-		{"one life, told twice", []fleet.Crash{beside("a", "a1", ms), alone("b", "b1", ms), alone("b", "b1", ms)}, crash.Suspected},
+		{"one life, told twice", []fleet.Crash{besideOthers("a", "a1", ms), alone("b", "b1", ms), alone("b", "b1", ms)}, crash.Suspected},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := crash.New(nil)
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestOtherCauses: while many upstreams are lost to other causes, it takes more to prove that a task does it; a while later it does not.
+// TestOtherCauses checks that more crashes are needed as a proof while many upstreams are lost to other causes, and fewer again later.
 func TestOtherCauses(t *testing.T) {
-	a := whileLost(4, 3)
+	a := newWithLosses(4, 3)
 	a.Add(start, alone("b", "b1", ms))
 	a.Add(start, alone("c", "c1", ms))
 	qt.Assert(t, a.Finding(task), qt.Equals, crash.Suspected)
@@ -141,8 +141,9 @@
 	qt.Assert(t, a.Finding(second), qt.Equals, crash.Proven)
 }
 
-// TestCompanion: losses while a task was alone prove nothing against it if one other task was left at all of them, at one point of its own run. Seen: a
-// sound task was started 440 ms after one that crashes its upstreams, at two upstreams one after the other, and called failed.
+// TestCompanion guards against a sound task that is called failed because another task crashed its upstreams. The sound task was started
+// 440 ms after a task that crashes its upstreams, on two upstreams one after the other, and was alone at both losses. Such losses prove
+// nothing if one other task remained on all of these upstreams, at one point of its own run.
 func TestCompanion(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -158,15 +159,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			a := crash.New(nil)
 			a.SetUpstreamCount(11)
-			a.Add(start, beside("x", "x1", c.alone))
-			a.Add(start, beside("y", "y1", c.alone))
+			a.Add(start, besideOthers("x", "x1", c.alone))
+			a.Add(start, besideOthers("y", "y1", c.alone))
 			for i, after := range c.others {
-				o := beside(fmt.Sprint("b", i), fmt.Sprint("b", i, "-1"), after)
+				o := besideOthers(fmt.Sprint("b", i), fmt.Sprint("b", i, "-1"), after)
 				o.Task = other
 				a.Add(start, o)
 			}
-			a.Add(start, aloneBeside("b0", "b0-1", c.alone))
-			a.Add(start, aloneBeside("b1", "b1-1", c.alone+ms))
+			a.Add(start, aloneBesideOlder("b0", "b0-1", c.alone))
+			a.Add(start, aloneBesideOlder("b1", "b1-1", c.alone+ms))
 			qt.Assert(t, a.Finding(task), qt.Equals, c.want)
 			a.Add(start, alone("c", "c1", c.alone))
 			qt.Assert(t, a.Finding(task), qt.Equals, crash.Proven)
@@ -174,25 +175,25 @@
 	}
 }
 
-// TestCloseWhileManyAreLost: three losses within a few milliseconds of one point prove also while many upstreams are lost to other causes, but not
-// three that merely may have been at one point. Seen: a task that had crashed three upstreams after 4 ms and two that nobody knew of
-// was started a sixth time.
+// TestCloseWhileManyAreLost guards against a crashing task that is started too often while many upstreams are lost to other causes: a task
+// that had crashed three upstreams after 4 ms, and two more that no process knew of, was started a sixth time. Three losses within a few
+// milliseconds of one point are a proof; three that merely may have been at one point are not.
 func TestCloseWhileManyAreLost(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		own  []fleet.Crash
 		want crash.Finding
 	}{
-		{"close, prompt", []fleet.Crash{beside("a", "a1", 3*ms), aloneBeside("b", "b1", 4*ms), aloneBeside("a", "a2", ms)}, crash.Proven},
-		{"close, late, nothing else left", []fleet.Crash{beside("a", "a1", late-5*ms), alone("b", "b1", late), alone("c", "c1", late+5*ms)}, crash.Proven},
-		{"close, late, others left", []fleet.Crash{beside("a", "a1", late), aloneBeside("b", "b1", late), aloneBeside("c", "c1", late)}, crash.Suspected},
-		{"not close beside others", []fleet.Crash{beside("a", "a1", late-20*ms), alone("b", "b1", late), alone("c", "c1", late)}, crash.Suspected},
-		{"not close alone", []fleet.Crash{beside("a", "a1", late), alone("b", "b1", late), alone("c", "c1", late+20*ms)}, crash.Suspected},
+		{"close, prompt", []fleet.Crash{besideOthers("a", "a1", 3*ms), aloneBesideOlder("b", "b1", 4*ms), aloneBesideOlder("a", "a2", ms)}, crash.Proven},
+		{"close, late, nothing else left", []fleet.Crash{besideOthers("a", "a1", late-5*ms), alone("b", "b1", late), alone("c", "c1", late+5*ms)}, crash.Proven},
+		{"close, late, others left", []fleet.Crash{besideOthers("a", "a1", late), aloneBesideOlder("b", "b1", late), aloneBesideOlder("c", "c1", late)}, crash.Suspected},
+		{"not close beside others", []fleet.Crash{besideOthers("a", "a1", late-20*ms), alone("b", "b1", late), alone("c", "c1", late)}, crash.Suspected},
+		{"not close alone", []fleet.Crash{besideOthers("a", "a1", late), alone("b", "b1", late), alone("c", "c1", late+20*ms)}, crash.Suspected},
 		{"two alone", []fleet.Crash{alone("b", "b1", ms), alone("c", "c1", ms)}, crash.Suspected},
-		{"on one VM", []fleet.Crash{beside("a", "a1", ms), alone("a", "a2", ms), alone("a", "a3", ms)}, crash.Suspected},
+		{"on one VM", []fleet.Crash{besideOthers("a", "a1", ms), alone("a", "a2", ms), alone("a", "a3", ms)}, crash.Suspected},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			a := whileLost(4, 5)
+			a := newWithLosses(4, 5)
 			for _, one := range c.own {
 				a.Add(start, one)
 			}
@@ -201,8 +202,8 @@
 	}
 }
 
-// TestAgesBesideOthers: while many upstreams are lost to other causes, losses while a task was beside others count too, although its age
-// at them is known too low by a hold's pause.
+// TestAgesBesideOthers checks that, while many upstreams are lost to other causes, losses while the task ran beside others count too,
+// although the recorded ages at them are too low by up to the pause between two holds.
 func TestAgesBesideOthers(t *testing.T) {
 	for _, c := range []struct {
 		low  time.Duration
@@ -212,18 +213,19 @@
 		{50 * ms, crash.Proven},
 		{200 * ms, crash.Suspected},
 	} {
-		a := whileLost(4, 5)
-		a.Add(start, beside("a", "a1", late-c.low))
-		a.Add(start, beside("b", "b1", late-c.low))
+		a := newWithLosses(4, 5)
+		a.Add(start, besideOthers("a", "a1", late-c.low))
+		a.Add(start, besideOthers("b", "b1", late-c.low))
 		a.Add(start, alone("c", "c1", late))
 		a.Add(start, alone("d", "d1", late+10*ms))
 		qt.Assert(t, a.Finding(task), qt.Equals, c.want)
 	}
 }
 
-// TestAgesAreKnownTooLow: a task's age at a loss may be known too low, never too high, so that one which was older than another loss's latest
-// point was not lost at the same. Seen: a sound task that was alone twice, each time beside an older one which crashes its upstreams, was called
-// failed, since an earlier and a later loss counted as at that point too.
+// TestAgesAreKnownTooLow guards against a sound task that is called failed because losses at other points count. The recorded age at a
+// loss may be too low, but not too high, so a task that was older than the latest point of another loss was not lost at the same point.
+// In the fault, a sound task was alone twice, each time beside an older task that crashes its upstreams, and an earlier and a later loss
+// counted as being at that point too.
 func TestAgesAreKnownTooLow(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -239,31 +241,31 @@
 			a := crash.New(nil)
 			a.SetUpstreamCount(11)
 			for i, after := range c.beside {
-				a.Add(start, beside(fmt.Sprint("x", i), fmt.Sprint("x", i, "-1"), after))
+				a.Add(start, besideOthers(fmt.Sprint("x", i), fmt.Sprint("x", i, "-1"), after))
 			}
-			a.Add(start, aloneBeside("b", "b1", 169*ms))
-			a.Add(start, aloneBeside("c", "c1", 185*ms))
+			a.Add(start, aloneBesideOlder("b", "b1", 169*ms))
+			a.Add(start, aloneBesideOlder("c", "c1", 185*ms))
 			qt.Assert(t, a.Finding(task), qt.Equals, c.want)
 		})
 	}
 }
 
-// TestPromptWhileManyAreLost: while many upstreams are lost to other causes, it takes two prompt losses to suspect a task.
+// TestPromptWhileManyAreLost checks that two prompt losses are needed to suspect a task while many upstreams are lost to other causes.
 func TestPromptWhileManyAreLost(t *testing.T) {
 	for _, c := range []struct {
 		upstreams, others int
 		own               []fleet.Crash
 		want              crash.Finding
 	}{
-		{10, 5, []fleet.Crash{beside("a", "a1", ms)}, crash.Suspected},
-		{10, 6, []fleet.Crash{beside("a", "a1", ms)}, crash.Unsuspected},
-		{20, 11, []fleet.Crash{beside("a", "a1", ms)}, crash.Suspected},
-		{20, 12, []fleet.Crash{beside("a", "a1", ms)}, crash.Unsuspected},
-		{1, 1, []fleet.Crash{beside("a", "a1", ms)}, crash.Suspected},
-		{10, 6, []fleet.Crash{beside("a", "a1", ms), beside("b", "b1", 2*ms)}, crash.Suspected},
-		{10, 6, []fleet.Crash{beside("a", "a1", ms), beside("b", "b1", late)}, crash.Unsuspected},
+		{10, 5, []fleet.Crash{besideOthers("a", "a1", ms)}, crash.Suspected},
+		{10, 6, []fleet.Crash{besideOthers("a", "a1", ms)}, crash.Unsuspected},
+		{20, 11, []fleet.Crash{besideOthers("a", "a1", ms)}, crash.Suspected},
+		{20, 12, []fleet.Crash{besideOthers("a", "a1", ms)}, crash.Unsuspected},
+		{1, 1, []fleet.Crash{besideOthers("a", "a1", ms)}, crash.Suspected},
+		{10, 6, []fleet.Crash{besideOthers("a", "a1", ms), besideOthers("b", "b1", 2*ms)}, crash.Suspected},
+		{10, 6, []fleet.Crash{besideOthers("a", "a1", ms), besideOthers("b", "b1", late)}, crash.Unsuspected},
 	} {
-		a := whileLost(c.upstreams, c.others)
+		a := newWithLosses(c.upstreams, c.others)
 		for _, one := range c.own {
 			a.Add(start, one)
 		}
@@ -271,10 +273,10 @@
 	}
 }
 
-// TestRefuted: a life that answers has crashed under nothing, whoever tells of it afterwards; if it is lost again, that counts.
+// TestRefuted checks that the crashes of a life that has answered are removed and not recorded again, and that a later loss counts.
 func TestRefuted(t *testing.T) {
 	a := crash.New(nil)
-	lost := beside("a", "a1", ms)
+	lost := besideOthers("a", "a1", ms)
 	qt.Assert(t, a.Add(start, lost), qt.IsTrue)
 	refutation := fleet.Refutation{Life: lost.Life, UpTo: lost.Loss}
 	qt.Assert(t, a.Refute(refutation), qt.IsTrue)
@@ -286,11 +288,11 @@
 	qt.Assert(t, a.Finding(task), qt.Equals, crash.Suspected)
 }
 
-// TestBounds: what is remembered has bounds in number and in time.
+// TestBounds checks that the recorded crashes are bounded in number and age.
 func TestBounds(t *testing.T) {
 	a := crash.New(nil)
 	for i := range uint64(10_000) {
-		c := beside("a", "a1", ms)
+		c := besideOthers("a", "a1", ms)
 		c.Task.Job = job.ID(i)
 		a.Add(start, c)
 	}
@@ -298,26 +300,27 @@
 	qt.Assert(t, a.All(start.Add(3*time.Minute)), qt.HasLen, 0)
 }
 
-// TestManyCrashes: a task that was lost with many upstreams to other causes and then crashes some itself is found out all the same.
+// TestManyCrashes checks that a task is still proven to crash upstreams after it was lost with many upstreams to other causes.
 func TestManyCrashes(t *testing.T) {
 	for _, n := range []int{7, 8, 20, 40} {
 		a := crash.New(nil)
 		a.SetUpstreamCount(100)
 		for i := range n {
-			a.Add(start, beside(fmt.Sprint("x", i), fmt.Sprint("x", i, "-1"), time.Duration(i+1)*time.Second))
+			a.Add(start, besideOthers(fmt.Sprint("x", i), fmt.Sprint("x", i, "-1"), time.Duration(i+1)*time.Second))
 		}
-		a.Add(start, beside("a", "a1", ms))
+		a.Add(start, besideOthers("a", "a1", ms))
 		a.Add(start, alone("b", "b1", ms))
 		a.Add(start, alone("c", "c1", ms))
 		qt.Assert(t, a.Finding(task), qt.Equals, crash.Proven, qt.Commentf("%d", n))
 	}
 }
 
-// TestOn: an agent remembers the newest crashes of its VM's upstreams, the only late one under a task among them. Seen: where all processes
-// ended after a task's first crash, and after its second before that was noticed, both were forgotten, and it was started once too often.
+// TestOn guards against a crashing task that is started once too often because its crashes are forgotten. All processes ended after the
+// task's first crash, and again after its second before any process noticed that. An agent therefore stores the newest crashes of its
+// VM's upstreams, including the only late crash of a task.
 func TestOn(t *testing.T) {
 	a := crash.New(nil)
-	first := beside("a", "a1", late)
+	first := besideOthers("a", "a1", late)
 	first.Task = other
 	a.Add(start, first)
 	older, newer := alone("a", "a2", ms), alone("a", "a3", ms)
@@ -329,7 +332,7 @@
 	qt.Assert(t, a.CrashesOn(start, "a"), qt.DeepEquals, []fleet.Crash{newer, older, first})
 	qt.Assert(t, a.CrashesOn(start.Add(crash.Retention), "a"), qt.HasLen, 0)
 	for i := range 40 {
-		c := beside("a", fmt.Sprint("x", i), late)
+		c := besideOthers("a", fmt.Sprint("x", i), late)
 		c.Task.Job, c.Loss = job.ID(100+i), fleet.LossNumber(4+i)
 		a.Add(start, c)
 	}
@@ -337,32 +340,32 @@
 	qt.Assert(t, a.CrashesOn(start, "a")[0].Loss, qt.Equals, fleet.LossNumber(43))
 }
 
-// TestAlone: a task is alone until it has outlived the point at which upstreams were lost.
+// TestAlone checks that a task stays alone until it has outlived the point at which upstreams were lost.
 func TestAlone(t *testing.T) {
 	for _, after := range []time.Duration{0, 10 * ms, 100 * ms, late} {
 		a := crash.New(nil)
-		a.Add(start, beside("a", "a1", after))
-		a.Add(start, beside("b", "b1", after))
+		a.Add(start, besideOthers("a", "a1", after))
+		a.Add(start, besideOthers("b", "b1", after))
 		qt.Assert(t, a.Finding(task), qt.Equals, crash.Suspected)
 		qt.Assert(t, a.AloneFor(task) >= after+crash.PromptAge, qt.IsTrue, qt.Commentf("after %v: %v", after, a.AloneFor(task)))
 	}
 }
 
-// TestAgesAcrossStandstills guards against crashes that count for nothing: a run whose age at a loss is known to within seconds only, since its agent
-// stood still, has not outlived the point of an earlier loss, and agrees with it.
+// TestAgesAcrossStandstills guards against crashes that count for nothing. If an agent stood still, the age of a run at a loss is known
+// only to within seconds. Such a run has not outlived the point of an earlier loss, and may have been lost at the same point.
 func TestAgesAcrossStandstills(t *testing.T) {
 	a := crash.New(nil)
 	a.SetUpstreamCount(10)
-	unsure := beside("c", "c1", 100*ms)
+	unsure := besideOthers("c", "c1", 100*ms)
 	unsure.MaxAge = 2400 * ms
-	for _, c := range []fleet.Crash{beside("a", "a1", 280*ms), unsure} {
+	for _, c := range []fleet.Crash{besideOthers("a", "a1", 280*ms), unsure} {
 		a.Add(start, c)
 	}
 	qt.Assert(t, a.Finding(task), qt.Equals, crash.Suspected)
 	unsure.Age, unsure.MaxAge = 2400*ms, 0
 	b := crash.New(nil)
 	b.SetUpstreamCount(10)
-	for _, c := range []fleet.Crash{beside("a", "a1", 280*ms), unsure} {
+	for _, c := range []fleet.Crash{besideOthers("a", "a1", 280*ms), unsure} {
 		b.Add(start, c)
 	}
 	qt.Assert(t, b.Finding(task), qt.Equals, crash.Unsuspected, qt.Commentf("an age that is known"))
--- a/internal/core/crash/row.go
+++ b/internal/core/crash/row.go
@@ -8,24 +8,24 @@
 	"hillreel/internal/core/job"
 )
 
-// Row is a crash under a task of a job as rows of the store have it.
+// Row is a crash of one of a job's tasks, as it is encoded in rows of the store.
 type Row struct {
 	Step  uint32             `json:"step"`
 	Index uint32             `json:"index"`
 	VM    ident.UpstreamName `json:"vm"`
 	ID    ident.UpstreamID   `json:"id"`
 	Born  ident.Born         `json:"born_ms,omitempty"`
-	// Loss tells the losses of one life apart.
+	// Loss distinguishes several losses of one life.
 	Loss fleet.LossNumber `json:"loss,omitempty"`
-	// AfterMs is how old the run was when the upstream was last heard.
+	// AgeMs is the age of the run when the upstream was last heard, in milliseconds.
 	AgeMs int64 `json:"after_ms"`
-	// UntilMs is how old it was at most, zero if not much older.
+	// MaxAgeMs is the highest possible age of the run, in milliseconds; zero means that it is not much above AgeMs.
 	MaxAgeMs int64 `json:"until_ms,omitempty"`
 	Alone    bool  `json:"alone,omitempty"`
 	Sole     bool  `json:"sole,omitempty"`
 }
 
-// RowOf encodes a crash, but for its task's job.
+// NewRow encodes a crash, without the job of its task.
 func NewRow(c fleet.Crash) Row {
 	return Row{
 		Step: c.Task.Step, Index: c.Task.Index, VM: c.VM, ID: c.Life.ID, Born: c.Life.Born, Loss: c.Loss,
@@ -33,10 +33,11 @@
 	}
 }
 
-// Of decodes a crash under a task of a job.
+// Crash decodes the crash of a task of the given job.
 func (r Row) Crash(id job.ID) fleet.Crash {
 	return fleet.Crash{
 		Task: job.TaskID{Job: id, Step: r.Step, Index: r.Index}, VM: r.VM, Life: ident.UpstreamLife{ID: r.ID, Born: r.Born},
-		Loss: r.Loss, Age: time.Duration(r.AgeMs) * time.Millisecond, MaxAge: time.Duration(r.MaxAgeMs) * time.Millisecond, Alone: r.Alone, OnlyTask: r.Sole,
+		Loss: r.Loss, Age: time.Duration(r.AgeMs) * time.Millisecond, MaxAge: time.Duration(r.MaxAgeMs) * time.Millisecond,
+		Alone: r.Alone, OnlyTask: r.Sole,
 	}
 }
