--- a/internal/core/fleet/crash.go
+++ b/internal/core/fleet/crash.go
@@ -7,30 +7,32 @@
 	"hillreel/internal/core/job"
 )
 
-// Crash tells that an upstream was lost while a task ran there. Any of the tasks that ran there may have caused it, or none.
+// Crash records that an upstream was lost while a task ran on it. Any of the tasks that ran there may have caused the loss, or none.
 type Crash struct {
 	Task job.TaskID
-	// VM is the upstream's, Life the life that was lost.
+	// VM is the upstream's VM; Life is the life of the upstream that was lost.
 	VM   ident.UpstreamName
 	Life ident.UpstreamLife
-	// Loss tells the losses of one life apart; it is zero where an entry has found that the life was lost with its agent.
+	// Loss distinguishes several losses of one life. It is zero if an entry found that the life was lost together with its agent.
 	Loss LossNumber
-	// After is how old the task's run was when the upstream was last heard.
+	// Age is the age of the task's run when the upstream was last heard.
 	Age time.Duration
-	// Until is how old it was at most, where its agent stood still between; zero is as old as questions and answers that are in time leave open.
+	// MaxAge is the highest possible age of the run, if its agent stood still in between. Zero means that the age exceeds Age by no more
+	// than the time that timely requests and answers leave open.
 	MaxAge time.Duration
-	// Alone: nothing had been started at the upstream shortly before the task or since.
+	// Alone: nothing else was started on the upstream shortly before the task or since.
 	Alone bool
-	// Sole: it was alone, and nothing else was left there.
+	// OnlyTask: the task was alone, and no older task remained on the upstream.
 	OnlyTask bool
 }
 
-// LossNumber rises with each loss of a life: one that was merely out of reach may be lost again. It is the time of day, in Unix milliseconds.
+// LossNumber rises with each loss of a life: a life that was merely unreachable may be lost again. It is the time of the loss in Unix
+// milliseconds.
 type LossNumber int64
 
-// Refutation says that a life has answered which was taken for lost.
+// Refutation says that a life which was taken for lost has answered.
 type Refutation struct {
 	Life ident.UpstreamLife
-	// UpTo is the newest loss that it refutes.
+	// UpTo is the newest loss that is refuted, together with all earlier ones.
 	UpTo LossNumber
 }
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet defines what entries and agents tell each other about upstreams and runs.
+// Package fleet defines the messages between entries and agents about upstreams and runs.
 package fleet
 
 import (
@@ -14,29 +14,29 @@
 
 // The states.
 const (
-	// Ready: it takes what fits its free room.
+	// Ready: the upstream takes tasks that fit its free room.
 	Ready State = "ready"
-	// Probing: it has failed or stalled too much; it takes one task of the receiver's to find out more.
+	// Probing: the upstream has failed or stalled too often; it takes one task from the receiver as a probe.
 	Probing State = "probing"
-	// Suspect: as Probing, but not now or not from the receiver.
+	// Suspect: as Probing, but it takes no probe now, or none from the receiver.
 	Suspect State = "suspect"
 	// Leaving: the upstream or its agent ends soon.
 	Leaving State = "leaving"
-	// Clearing: the agent does not know yet all that runs there.
+	// Clearing: the agent does not know yet all that runs on the upstream.
 	Clearing State = "clearing"
 	// Unreachable: the agent gets no answer from its upstream.
 	Unreachable State = "unreachable"
-	// Cordoned: operators have cordoned its availability zone. What runs there goes on.
+	// Cordoned: operators have cordoned the upstream's availability zone. Runs on it continue.
 	Cordoned State = "cordoned"
 )
 
-// Accepts tells whether a task may be offered in this state.
+// Accepts reports whether a task may be offered to an upstream in this state.
 func (s State) Accepts() bool { return s == Ready || s == Probing }
 
-// Settled tells whether in this state all that runs at the upstream is known.
+// RunsKnown reports whether, in this state, the agent knows all that runs on the upstream.
 func (s State) RunsKnown() bool { return s.Accepts() || s == Cordoned }
 
-// Upstream describes the upstream beside an agent.
+// Upstream describes the upstream next to an agent.
 type Upstream struct {
 	ID      ident.UpstreamID
 	Service ident.Service
@@ -44,39 +44,39 @@
 	Total   job.Resources
 }
 
-// Has tells whether the upstream carries a label; every upstream carries the empty one.
+// HasLabel reports whether the upstream has a label. Every upstream has the empty label.
 func (u *Upstream) HasLabel(l job.Label) bool {
 	return l == "" || slices.Contains(u.Labels, l)
 }
 
-// Room is what an upstream can take now.
+// Room is what an upstream can take at the moment.
 type Room struct {
 	Free job.Resources
-	// Seq is the newest Order of the receiver's session that Free takes into account.
+	// Seq is the sequence number of the newest Order of the receiver's session that Free accounts for.
 	Seq uint64
-	// Clock is the agent's steady clock when it sent this.
+	// Clock is the reading of the agent's monotonic clock when it sent the message.
 	Clock time.Duration
 	State State
-	// Pace is the recent ratio of run times to estimates; zero is unknown.
+	// Pace is the recent ratio of run times to their estimates; zero is unknown.
 	Pace float64
 }
 
-// slowFactor times the median of all paces is what makes an upstream slow. Sound ones differ by half.
+// slowFactor is the multiple of the median pace above which an upstream is slow. The paces of sound upstreams differ by half.
 const slowFactor = 1.7
 
-// Slow tells whether an upstream of a pace is slow beside others; a pace or a median of zero is unknown.
+// Slow reports whether pace marks an upstream as slow, given the median pace of all upstreams. A pace or a median of zero is unknown.
 func Slow(pace, median float64) bool { return median > 0 && pace > slowFactor*median }
 
-// Order asks an agent to start tasks of one step.
+// Order asks an agent to start tasks of one step of a job.
 type Order struct {
-	// Seq counts the orders of one session from 1.
+	// Seq numbers the orders of one session, starting at 1.
 	Seq      uint64
 	Job      job.ID
 	Step     uint32
 	Spec     string
 	Each     job.Resources
 	Estimate time.Duration
-	// Kept: the ends of the runs must be noted before the upstream may forget them.
+	// Kept: the ends of the runs must be stored before the upstream may forget them.
 	Kept  bool
 	Tasks []TaskRun
 }
@@ -85,44 +85,44 @@
 type TaskRun struct {
 	Index uint32
 	Run   job.Run
-	// ID is the run's own among all that the entry has ordered.
+	// ID distinguishes the run from all other runs that the entry has ordered.
 	ID RunID
-	// Failures counts the failed runs of the job so far; with none, a failure says more of the upstream.
+	// Failures is the number of failed runs of the job so far. If it is zero, a failure says more about the upstream.
 	Failures uint32
-	// Checkpoint is what an earlier run saved; empty is none.
+	// Checkpoint is the state that an earlier run saved; empty is none.
 	Checkpoint string
-	// Alone is for how long after the task's start nothing else may be started at the upstream; zero is not at all. An order has
-	// one such task and no others.
+	// AloneFor is how long after the task's start nothing else may be started on the upstream; zero means that the task need not be alone.
+	// An order with such a task has no other tasks.
 	AloneFor time.Duration
 }
 
-// Task returns the id of one task of the order.
+// Task returns the ID of the order's task at index i.
 func (o *Order) Task(i int) job.TaskID {
 	return job.TaskID{Job: o.Job, Step: o.Step, Index: o.Tasks[i].Index}
 }
 
-// RunRef names one run at an upstream. Where a job is sent again, numbers begin again from 1: between entries and agents
-// only an OrderedRun is certain.
+// RunRef names one run on an upstream. If a job is sent again, its run numbers start at 1 again, so between entries and agents only an
+// OrderedRun is unique.
 type RunRef struct {
 	Task job.TaskID
 	Run  job.Run
 }
 
-// RunID names one run among all that an entry's process has ordered, and is never used again there. A message about a
-// run that was under way while its job was given up and begun anew can't be taken for one about the new run, whose task
-// and number are the same. Zero is none.
+// RunID names one run among all runs that an entry's process has ordered; the process never uses it again. When a job is given up and
+// begun anew, the new run has the same task and number as the old one. The RunID keeps a delayed message about the old run from being
+// taken for a message about the new run. Zero is none.
 type RunID uint64
 
-// OrderedRun names one run between the entry that has ordered it and its agent.
+// OrderedRun names one run between the entry that has ordered it and the agent.
 type OrderedRun struct {
 	RunRef
 	ID RunID
 }
 
-// Progress tells how a run on a slow upstream gets on.
+// Progress reports how far a run on a slow upstream has come.
 type Progress struct {
 	OrderedRun
-	// Left is how long it will still take at the upstream's present pace.
+	// Left is the time that the run still needs at the upstream's present pace.
 	Left time.Duration
 }
 
@@ -130,26 +130,26 @@
 type End struct {
 	Task job.TaskID
 	Run  job.Run
-	// ID is that of the order.
+	// ID is the ID that the order gave the run.
 	ID      RunID
 	Outcome job.Outcome
-	// Took is how long it ran, zero if it did not.
+	// Took is how long the run took; zero if it never ran.
 	Took       time.Duration
 	Checkpoint string
-	// Reason explains an outcome that is not the task's own.
+	// Reason explains an outcome that the task itself did not cause.
 	Reason Reason
-	// Kept: the upstream remembers the end until it is noted.
+	// Kept: the upstream keeps the end until it is acknowledged as stored.
 	Kept bool
 }
 
-// Reason says why a run ended otherwise than by itself, in one word.
+// Reason says in one word why a run did not end by itself.
 type Reason string
 
 // The reasons.
 const (
 	NoRoom       Reason = "no_room"
 	NotAccepting Reason = "not_accepting"
-	// ZoneCordoned: operators have cordoned the upstream's availability zone, and nothing was begun.
+	// ZoneCordoned: operators have cordoned the upstream's availability zone, and the run was not started.
 	ZoneCordoned Reason = "zone_cordoned"
 	StaleSession Reason = "stale_session"
 	Refused      Reason = "upstream_refused"
@@ -158,46 +158,48 @@
 	UpstreamGone Reason = "upstream_gone"
 	NoProgress   Reason = "no_progress"
 	OnRequest    Reason = "on_request"
-	// Moved: the upstream has become slow, and the task will sooner be done elsewhere.
+	// Moved: the upstream has become slow, and the task will finish earlier on another upstream.
 	Moved         Reason = "moved"
 	NotListed     Reason = "not_listed"
 	AgentSilent   Reason = "agent_silent"
 	AgentReplaced Reason = "agent_replaced"
-	// Superseded: another entry has ordered the same task, so its caller has gone there.
+	// Superseded: another entry has ordered the same task, so the job's caller has gone to that entry.
 	Superseded Reason = "superseded"
 )
 
-// Timing holds the times on which the safety of placing a task again rests. Entries and agents share them.
+// Timing holds the times that make it safe to place a task again. Entries and agents of a region share the same values.
 type Timing struct {
-	// Silence is how long an agent keeps an entry's runs without hearing from it.
+	// Silence is how long an agent keeps an entry's runs without hearing from the entry.
 	Silence time.Duration
-	// Lease is how long the upstream keeps runs without hearing from its agent, by its own clock.
+	// Lease is how long an upstream keeps its runs without hearing from its agent, by the upstream's clock.
 	Lease time.Duration
-	// StopBudget is how long an agent tries to stop a run before it lets the lease of all lapse.
+	// StopBudget is how long an agent tries to stop a run before it lets the lease of all runs lapse.
 	StopBudget time.Duration
 	// KeepAlive is the longest pause between two messages on a session.
 	KeepAlive time.Duration
 }
 
-// SlowClock is how much longer a time lasts on an upstream's clock that runs slow: the platform allows 2%.
+// MaxClockRatio is the most by which a time on an upstream's slow clock can last longer than the true time: the platform allows a
+// deviation of 2%.
 const MaxClockRatio = 1.02
 
 const (
-	// killTime is the upstream's own time to kill a lapsed run: stop_ms on all deployments seen.
+	// killTime is the time that an upstream needs to kill a lapsed run: the stop_ms that all known deployments use.
 	killTime = 50 * time.Millisecond
-	// TimerMargin is by how much all timers that SettleAfter rests on may fire late, together.
+	// TimerMargin is the most by which all timers that SettleAfter adds up may fire late, in total.
 	TimerMargin = 50 * time.Millisecond
 )
 
-// SettleAfter is how long after an entry last heard an agent's clock no run of that entry remains there.
+// SettleAfter returns the time after which no run of an entry remains on an upstream, counted from the newest reading of the agent's
+// clock that has reached the entry.
 func (t Timing) SettleAfter() time.Duration { return t.Silence + t.StopBound() }
 
-// StoppedWithin is how long after an agent has begun to stop a run that nobody wants any more it is gone.
+// StopBound returns the time within which an unwanted run is gone, counted from when its agent began to stop it.
 func (t Timing) StopBound() time.Duration {
 	return t.StopBudget + LeaseBound(t.Lease) + killTime + TimerMargin
 }
 
-// LeaseBound is how long a lease can last by a true clock.
+// LeaseBound returns how long a lease can last by a true clock.
 func LeaseBound(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease) * MaxClockRatio)
 }
--- a/internal/core/fleet/takeover.go
+++ b/internal/core/fleet/takeover.go
@@ -5,16 +5,17 @@
 	"hillreel/internal/core/job"
 )
 
-// Takeover is about a job that need not be kept, which its caller has sent to one entry while another held it.
+// Takeover is about a job that is not kept and whose caller has sent it to one entry while another entry held it.
 type Takeover struct {
 	Job job.ID
-	// Holder is the entry that held it, By the one that its caller has gone to.
+	// Holder is the entry that held the job; NewHolder is the entry to which the caller has sent it.
 	Holder, NewHolder ident.Incarnation
 }
 
-// Released says that nothing of a job remains which another entry takes over.
+// Released says that nothing of a job that another entry takes over remains.
 type Released struct {
 	Takeover
-	// ByHolder: the holder says so, of all upstreams. Else an agent does, of its upstream: the holder isn't linked to it.
+	// ByHolder: the holder has released the job on all upstreams. Otherwise an agent has released it on its own upstream, because the
+	// holder is not linked to that agent.
 	ByHolder bool
 }
