--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -1,4 +1,4 @@
-// Package job defines jobs, their tasks, and what becomes of a run, as all of hillreel's processes know them.
+// Package job defines jobs, tasks, and the outcomes of runs. Entries and agents share these types.
 package job
 
 import (
@@ -10,13 +10,13 @@
 	"github.com/pkg/errors"
 )
 
-// ID is a job's id. The caller chooses it; it is written as 16 hexadecimal digits.
+// ID is the ID of a job. The caller chooses it. Its text form is 16 hexadecimal digits.
 type ID uint64
 
-// idDigits is the length of a written ID.
+// idDigits is the length of an ID's text form.
 const idDigits = 16
 
-// ParseID reads an id. Exactly 16 hexadecimal digits are accepted.
+// ParseID parses the text form of an ID. It returns an error unless text is exactly 16 hexadecimal digits.
 func ParseID(text string) (ID, error) {
 	if len(text) != idDigits {
 		return 0, errors.Errorf("id: want %d hexadecimal digits, not %d characters", idDigits, len(text))
@@ -28,7 +28,7 @@
 	return ID(n), nil
 }
 
-// String writes the id as its caller does.
+// String returns the ID as 16 hexadecimal digits.
 func (id ID) String() string {
 	s := strconv.FormatUint(uint64(id), 16)
 	return strings.Repeat("0", idDigits-len(s)) + s
@@ -37,11 +37,11 @@
 // TaskID names one task of a job.
 type TaskID struct {
 	Job ID
-	// Step is the number of the task's step, Index its place in the step, both from zero.
+	// Step is the number of the task's step, Index the task's position in the step; both start at zero.
 	Step, Index uint32
 }
 
-// String writes the id as it stands in logs.
+// String returns the ID in the form that logs use: job, step and index, separated by dots.
 func (t TaskID) String() string {
 	return t.Job.String() + "." + strconv.Itoa(int(t.Step)) + "." + strconv.Itoa(int(t.Index))
 }
@@ -51,38 +51,39 @@
 	return cmp.Or(cmp.Compare(t.Job, o.Job), cmp.Compare(t.Step, o.Step), cmp.Compare(t.Index, o.Index))
 }
 
-// Run counts the starts of one task, from 1.
+// Run numbers the runs of one task, starting at 1.
 type Run uint32
 
-// RunsEach is how many numbers of runs each generation of a kept job has: far more than one entry starts a task.
+// RunsPerGeneration is how many run numbers each generation of a kept job has: far more than the number of times that one entry starts a
+// task.
 const RunsPerGeneration = 1024
 
-// Follows tells whether a run is the next of its task after another that ended: by its number, or as the first of the
-// generation after it. Otherwise the task may have started elsewhere in between.
+// Follows reports whether r is the next run of its task after a run that has ended: either its number is the next one, or it is the first
+// of the next generation. Otherwise the task may have been started elsewhere in between.
 func (r Run) Follows(ended Run) bool {
 	first := (r-1)%RunsPerGeneration == 0
 	return r == ended+1 || first && ended < r && r-ended <= RunsPerGeneration
 }
 
-// Resources is an amount of processor, memory and accelerators.
+// Resources is an amount of CPU, memory and accelerators.
 type Resources struct {
-	// CPU is in thousandths of a core, Mem in MB, GPU in whole accelerators.
+	// CPU is in thousandths of a core, Mem in MB, and GPU in whole accelerators.
 	CPU int64 `json:"cpu_millis,omitempty"`
 	Mem int64 `json:"mem_mb,omitempty"`
 	GPU int64 `json:"gpu,omitempty"`
 }
 
-// Add returns the sum.
+// Add returns the sum of both amounts.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{r.CPU + o.CPU, r.Mem + o.Mem, r.GPU + o.GPU}
 }
 
-// Sub returns the difference, which may be negative.
+// Sub returns the difference of both amounts, which may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.CPU - o.CPU, r.Mem - o.Mem, r.GPU - o.GPU}
 }
 
-// Fits tells whether the amount is available within free.
+// Fits reports whether the amount is available within free.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU && r.Mem <= free.Mem && r.GPU <= free.GPU
 }
@@ -90,36 +91,36 @@
 // Label is a property of an upstream that a step can require, such as its rack or hardware kind.
 type Label string
 
-// Step is a group of equal tasks.
+// Step is a group of identical tasks.
 type Step struct {
-	// Count is at least 1.
+	// Count is the number of tasks, at least 1.
 	Count uint32 `json:"count"`
 	// Each is what one task needs.
 	Each Resources `json:"each"`
-	// Estimate is the caller's guess of one task's run time; it is often off by 40% and more.
+	// Estimate is the caller's estimate of one task's run time; it is often wrong by 40% or more.
 	Estimate time.Duration `json:"estimate_ns,omitempty"`
-	// After lists earlier steps that must have ended. Every number is below the step's own.
+	// After lists the steps that must have ended before this one starts. Each number is below the step's own.
 	After []uint32 `json:"after,omitempty"`
-	// Requires is a label that the upstream must have; empty is none.
+	// Requires is a label that the upstream must have; empty means no requirement.
 	Requires Label `json:"requires,omitempty"`
-	// Prefers is the rack that holds the step's data; empty is none.
+	// Prefers is the rack that holds the step's data; empty means no preference.
 	Prefers Label `json:"prefers,omitempty"`
-	// MaxPerUpstream bounds the step's tasks on one upstream; zero is no bound.
+	// MaxPerUpstream bounds the step's tasks on one upstream; zero means no bound.
 	MaxPerUpstream uint32 `json:"max_per_upstream,omitempty"`
 }
 
 // Spec is what a caller submits.
 type Spec struct {
-	// Text goes to the upstream as it is.
+	// Text is passed to the upstream unchanged.
 	Text  string `json:"text"`
 	Steps []Step `json:"steps"`
-	// BestEffort jobs are answered once they have ended and are not kept.
+	// BestEffort jobs are answered once they have ended, and are not kept in the store.
 	BestEffort bool `json:"best_effort,omitempty"`
-	// Unsupported names a feature that the job needs and hillreel lacks; empty is none.
+	// Unsupported names a feature that the job needs and hillreel does not have; empty is none.
 	Unsupported string `json:"unsupported,omitempty"`
 }
 
-// Tasks returns how many tasks the job has.
+// TaskCount returns the number of tasks in all steps.
 func (s *Spec) TaskCount() int {
 	n := 0
 	for _, step := range s.Steps {
@@ -128,7 +129,7 @@
 	return n
 }
 
-// Chain returns the estimated time of the longest chain of steps.
+// CriticalPath returns the estimated time of the longest chain of dependent steps.
 func (s *Spec) CriticalPath() time.Duration {
 	ends := make([]time.Duration, len(s.Steps))
 	var longest time.Duration
@@ -142,23 +143,23 @@
 	return longest
 }
 
-// Outcome says how one run of a task ended.
+// Outcome is how one run of a task ended.
 type Outcome string
 
-// The outcomes. Only Done and Failed are the task's own.
+// The outcomes. Only Done and Failed come from the task itself; the others have outside causes.
 const (
-	// Done: the task ended well.
+	// Done: the task succeeded.
 	Done Outcome = "done"
-	// Failed: the task failed, through its own fault or its upstream's.
+	// Failed: the task failed, by its own fault or its upstream's.
 	Failed Outcome = "failed"
 	// Stopped: the run was stopped on request.
 	Stopped Outcome = "stopped"
 	// Stalled: the run made no progress, or far too little, and was stopped.
 	Stalled Outcome = "stalled"
-	// Lost: the upstream crashed, left or let the run's lease lapse.
+	// Lost: the upstream crashed, left, or let the run's lease lapse.
 	Lost Outcome = "lost"
-	// NotStarted: the run never began and never will.
+	// NotStarted: the run never started and never will.
 	NotStarted Outcome = "not_started"
-	// Used: the upstream has seen this or a higher run of the task, and refused to start it.
+	// Used: the upstream knows this or a higher run number of the task, and refused to start the run.
 	Used Outcome = "used"
 )
