--- a/internal/core/timeout/patience_test.go
+++ b/internal/core/timeout/timeout_test.go
@@ -9,8 +9,8 @@
 	"hillreel/internal/core/timeout"
 )
 
-// TestRaise: what is known of the peer from elsewhere counts at once, and is unlearned with quick answers.
-func TestRaise(t *testing.T) {
+// TestRaiseTo checks that a slowness seen in other answers of the peer counts at once, and that quick answers reduce the limit again.
+func TestRaiseTo(t *testing.T) {
 	p := timeout.New(5, 50*time.Millisecond, time.Second)
 	p.Observe(10 * time.Millisecond)
 	qt.Assert(t, p.Limit(), qt.Equals, 50*time.Millisecond)
@@ -24,12 +24,12 @@
 	qt.Assert(t, p.Limit(), qt.Equals, 50*time.Millisecond)
 }
 
-// TestPatience: orders are waited for a little longer than usual; lost ones do not draw that out, and a VM on which every
-// order takes longer does.
-func TestPatience(t *testing.T) {
+// TestAdaptive checks that the limit is somewhat longer than the usual answer: lost answers hardly raise it, and a peer whose answers all
+// take longer does.
+func TestAdaptive(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// took is how long each order takes; every lost-th one gets no answer, zero is none.
+		// took is how long each answer takes; every lost-th answer is lost, zero is none.
 		took time.Duration
 		lost int
 		want time.Duration
