--- a/internal/core/keepalive/probed_test.go
+++ b/internal/core/keepalive/keepalive_test.go
@@ -13,8 +13,8 @@
 	"hillreel/internal/standin/silence"
 )
 
-// TestSilence: a connection that is silent ends within a second of the time that it may be, on the side that dialled it and on
-// the side that accepted it, whether something is waited for or was sent.
+// TestSilence checks that a silent connection ends within a second of its Timeout, on the side that dialled it and on the side that
+// accepted it, whether that side waits for data or has sent some.
 func TestSilence(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -35,7 +35,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			far, err := ln.Accept()
 			qt.Assert(t, err, qt.IsNil)
-			time.Sleep(100 * time.Millisecond) // the proxy has both by then
+			time.Sleep(100 * time.Millisecond) // until the proxy has both connections
 			n, err := p.Silence()
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, n, qt.Equals, 1)
