--- a/internal/core/boottime/boottime.go
+++ b/internal/core/boottime/boottime.go
@@ -1,33 +1,34 @@
-// Package boottime is the clock of everything that must expire: leases, silences, deadlines.
+// Package boottime is the clock for everything that expires: leases, silences, deadlines.
 //
-// The clock behind time.Now stands still while a VM is suspended, as when it is moved to another host. A process that wakes would take
-// what it was told before for fresh: an agent an order that its entry has given up since, an entry a job that its caller has
-// sent elsewhere. This clock counts that time, so that a suspension is a standstill like any other. It is never set, and
-// says nothing of other VMs' time of day.
+// The monotonic clock behind time.Now stops while a VM is suspended, for example when it is moved to another host. After it resumes, a
+// process would take what it was told before for current: an agent would accept an order that its entry has given up since, and an entry
+// would place a job that its caller has sent to another entry. This clock includes the time of suspensions, so a suspension counts like
+// any other time in which the process stood still. The clock is never adjusted, and its readings can't be compared with those of other
+// VMs.
 package boottime
 
 import "time"
 
-// clock counts from a process's start; elapsed is the time since some fixed moment.
+// clock adds the time that has passed since from to began. elapsed returns the time since some fixed moment.
 type clock struct {
 	began   time.Time
 	from    time.Duration
 	elapsed func() time.Duration
 }
 
-// newClock returns a clock that starts with the time of day.
+// newClock returns a clock that starts at the current time of day.
 func newClock(elapsed func() time.Duration) clock {
-	// Without a monotonic reading, which would go before the clock's own in differences.
+	// Round strips the monotonic reading, which Sub would otherwise use instead of the clock's own time.
 	return clock{began: time.Now().Round(0), from: elapsed(), elapsed: elapsed}
 }
 
-// now is the clock's reading.
+// now returns the clock's reading.
 func (c *clock) now() time.Time { return c.began.Add(c.elapsed() - c.from) }
 
 var process = newClock(sinceBoot)
 
-// Now is the time that has passed since the process began, suspensions included, added to the time of day at its start.
+// Now returns the time of day at the start of the process plus the time since then, suspensions included.
 func Now() time.Time { return process.now() }
 
-// Since returns the time since a reading of Now.
+// Since returns the time since t, which must be a result of Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
--- a/internal/core/boottime/boottime_test.go
+++ b/internal/core/boottime/boottime_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestSuspension: what passes while the VM is suspended, and time.Now doesn't count, is counted.
+// TestSuspension checks that the clock counts the time of a suspension, which time.Now does not.
 func TestSuspension(t *testing.T) {
 	elapsed := time.Hour
 	c := newClock(func() time.Duration { return elapsed })
@@ -17,8 +17,8 @@
 	qt.Assert(t, c.now().Sub(before), qt.Equals, 5*time.Second)
 }
 
-// TestNow: the process's clock goes on as time.Now does while nothing is suspended, and has no monotonic reading, which differences
-// would go by.
+// TestNow checks that the clock advances as time.Now does while the VM is not suspended, and that its readings have no monotonic
+// reading, which differences would use.
 func TestNow(t *testing.T) {
 	before, real := Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
--- a/internal/core/boottime/elapsed_other.go
+++ b/internal/core/boottime/elapsed_other.go
@@ -6,5 +6,5 @@
 
 var start = time.Now()
 
-// sinceBoot is the time since the process began. Elsewhere than on Linux, where hillreel runs, it may not count suspensions.
+// sinceBoot returns the time since the process began. hillreel runs on Linux; on other systems, suspensions may not be counted.
 func sinceBoot() time.Duration { return time.Since(start) }
--- a/internal/core/bus/bus.go
+++ b/internal/core/bus/bus.go
@@ -1,5 +1,5 @@
-// Package bus carries control events inside a process, over watermill's Go channels: membership
-// and configuration. Task traffic does not pass here; docs/DESIGN.md says what that would cost.
+// Package bus carries control events, such as changes of membership and configuration, between the services of one process. It uses
+// watermill's Go channels. Task traffic does not go through the bus; docs/DESIGN.md gives the cost that it would have there.
 package bus
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Topic names a kind of event.
+// Topic is the name of a kind of event.
 type Topic string
 
-// The topics and what their events hold.
+// The topics, with the contents of their events.
 const (
-	// Entries carries all entries, each time the store's list of them has changed.
+	// Entries carries the list of all entries each time the list in the store has changed.
 	Entries Topic = "entries"
 )
 
-// backlog is how many events a slow subscriber may be behind.
+// backlog is how many events may be queued for a slow subscriber.
 const backlog = 64
 
 // Bus is the event bus of one process.
@@ -30,12 +30,12 @@
 
 // New returns an empty Bus.
 func New() *Bus {
-	// Without waiting for the acknowledgement, events overtake each other.
+	// Events would overtake each other if Publish did not wait for the acknowledgement.
 	config := gochannel.Config{OutputChannelBuffer: backlog, BlockPublishUntilSubscriberAck: true}
 	return &Bus{gochannel.NewGoChannel(config, watermill.NopLogger{})}
 }
 
-// Publish sends event, as JSON, to all subscribers of topic.
+// Publish sends event, encoded as JSON, to all subscribers of topic.
 func (b *Bus) Publish(topic Topic, event any) error {
 	payload, err := json.Marshal(event)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return errors.Wrap(b.channel.Publish(string(topic), message.NewMessage(watermill.NewUUID(), payload)), "bus")
 }
 
-// Subscribe calls handle for each event of topic, one at a time, until ctx ends.
+// Subscribe calls handle for each event of topic, one at a time, until ctx ends. Events that can't be decoded are logged and skipped.
 func Subscribe[T any](ctx context.Context, b *Bus, topic Topic, handle func(T)) error {
 	messages, err := b.channel.Subscribe(ctx, string(topic))
 	if err != nil {
--- a/internal/core/bus/bus_test.go
+++ b/internal/core/bus/bus_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkBus and BenchmarkChannel say what task traffic would pay on the bus (docs/MEASUREMENTS.md).
+// BenchmarkBus and BenchmarkChannel compare the cost of one event on the bus and on a plain channel (docs/MEASUREMENTS.md).
 func BenchmarkBus(b *testing.B) {
 	x := bus.New()
 	defer x.Close()
