--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds the configuration that the platform's operator gives: which queue a request belongs to,
-// and which service runs it.
+// Package route holds the configuration that the platform's operators provide: which queue a request belongs to, and which service
+// runs it.
 package route
 
 import (
@@ -17,51 +17,51 @@
 // Route is one queue of jobs.
 type Route struct {
 	Name Name `json:"name"`
-	// Host and Prefix choose the route; among several that match, the longest prefix wins.
+	// Host and Prefix select the requests of the route. If several routes match, the one with the longest prefix is used.
 	Host    string        `json:"host,omitempty"`
 	Prefix  string        `json:"prefix,omitempty"`
 	Service ident.Service `json:"service"`
-	// Timeout is the longest a request may take; zero is none.
+	// Timeout is the longest time that a request may take; zero means no limit.
 	Timeout time.Duration `json:"timeout_ns,omitempty"`
-	// Target is the part of the latency objective that does not depend on the work.
+	// Target is the fixed part of the latency objective, independent of the amount of work.
 	Target time.Duration `json:"target_ns,omitempty"`
-	// Stretch times the longest chain of work is the rest of the latency objective.
+	// Stretch is the factor by which the job's critical path enters the latency objective.
 	Stretch float64 `json:"stretch,omitempty"`
-	// Priority 0 goes first.
+	// Priority orders the routes' jobs; jobs of priority 0 go first.
 	Priority int `json:"priority,omitempty"`
-	// Attempts is after how many failed runs of one task its job has failed.
+	// Attempts is the number of failed runs of one task after which its job has failed.
 	Attempts int `json:"attempts,omitempty"`
 }
 
-// Objective is the response time that a job with this chain of work should keep.
+// Objective returns the response time that a job should keep. chain is the estimated time of the job's critical path.
 func (r *Route) Objective(chain time.Duration) time.Duration {
 	return time.Duration(r.Stretch*float64(chain)) + r.Target
 }
 
-// Limits bound what callers send.
+// Limits bound the requests of callers.
 type Limits struct {
-	// HeaderBytes and BodyBytes are the largest sizes; zero is no limit.
+	// HeaderBytes and BodyBytes are the largest sizes in bytes; zero means no limit.
 	HeaderBytes, BodyBytes int
-	// HeaderTimeout is the longest time in which headers arrive, IdleTimeout that between two requests.
+	// HeaderTimeout is the longest time in which a caller sends the headers; IdleTimeout is the longest pause between two requests.
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Table is one version of the configuration.
+// Table is one version of the routing configuration.
 type Table struct {
 	Version ident.ConfigVersion
-	// Routes are sorted so that the longest prefix comes first.
+	// Routes must be sorted as Sort does, so that longer prefixes match first.
 	Routes []Route
 	Limits Limits
-	// Raw is the configuration as it was read, for passing it on.
+	// Raw is the configuration as it was read, so that it can be sent to other processes.
 	Raw []byte
 }
 
-// Sort brings the routes into the order that Match relies on.
+// Sort sorts the routes by falling length of their prefix, which Match relies on.
 func (t *Table) Sort() {
 	slices.SortStableFunc(t.Routes, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 }
 
-// Match returns the route of a request, or nil.
+// Match returns the first route that matches a request, or nil. The port in host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
--- a/internal/core/rule/rule.go
+++ b/internal/core/rule/rule.go
@@ -1,6 +1,5 @@
-// Package rule names the safety rules by which no task runs twice at a time, so that an experiment can leave one
-// out and show that the randomised run notices. Production code never leaves one out: the zero Set has all in
-// force.
+// Package rule names the safety rules that keep a task from running twice at the same time. An experiment can leave out a rule to show that
+// the randomised tests notice its absence. Production code leaves out none: with the zero Set, all rules are in force.
 package rule
 
 // Rule is one safety rule.
@@ -8,78 +7,79 @@
 
 // The rules that an experiment can leave out.
 const (
-	// SettleWait: an entry places the tasks of a lost agent again only once nothing of theirs can run any more.
+	// SettleWait: an entry places the tasks of a lost agent again only once none of their runs can still be active.
 	SettleWait Rule = "settle_wait"
-	// StopsFirst: a job that is sent again while its old runs are being stopped begins only when they have ended.
+	// StopsFirst: if a job is sent again while its old runs are being stopped, it begins only once they have ended.
 	StopsFirst Rule = "stops_first"
-	// RunIDs: a run has an id that no other run of its entry has, and messages about it carry that.
+	// RunIDs: each run has an ID that is unique among all runs of its entry, and messages about the run contain it.
 	RunIDs Rule = "run_ids"
-	// EchoedClock: an agent counts an entry's silence from when the agent sent what the entry has echoed.
+	// EchoedClock: an agent measures an entry's silence from the time at which the agent sent the clock reading that the entry echoed.
 	EchoedClock Rule = "echoed_clock"
-	// FreshSession: an agent takes no order of an entry that it has not heard within the silence.
+	// FreshSession: an agent accepts no order from an entry that it has not heard within the silence.
 	FreshSession Rule = "fresh_session"
-	// CountSuspensions: what expires goes by a clock that counts the time for which the VM was suspended.
+	// CountSuspensions: expiry uses a clock that includes the time during which the VM was suspended.
 	CountSuspensions Rule = "count_suspensions"
 	// StopSilent: an agent stops the runs of an entry that is silent or whose session has ended.
 	StopSilent Rule = "stop_silent"
-	// FenceUnsure: a start without an answer is unknown until the upstream, under a higher token, has said.
+	// FenceUnsure: a start without an answer counts as unknown until the upstream has answered under a higher fencing token.
 	FenceUnsure Rule = "fence_unsure"
-	// SameTaskWaits: an order for a task that still runs at the upstream waits for the end of that run.
+	// SameTaskWaits: an order for a task that still runs on the upstream waits until that run has ended.
 	SameTaskWaits Rule = "same_task_waits"
-	// LapseBudget: when a lost entry's run can't be stopped in time, the agent lets all leases lapse.
+	// LapseBudget: if the run of a lost entry can't be stopped in time, the agent lets the lease of all runs lapse.
 	LapseBudget Rule = "lapse_budget"
-	// LookFirst: an agent takes no work before it knows what runs at its upstream.
+	// LookFirst: an agent accepts no work before it knows what runs on its upstream.
 	LookFirst Rule = "look_first"
-	// ConfirmLife: an agent that knows a life of its upstream takes up another only once the upstream answers for it.
+	// ConfirmLife: an agent that knows one life of its upstream accepts another life only once the upstream has confirmed it.
 	ConfirmLife Rule = "confirm_life"
-	// LifeBorn: an upstream that starts again under its id is another life, and the account of the former does not go on.
+	// LifeBorn: an upstream that restarts under the same ID is another life, and the state of its former life does not carry over.
 	LifeBorn Rule = "life_born"
-	// CallersLost: an entry that has heard nothing for as long as agents keep its runs gives up the jobs that it held, whose callers may have
-	// gone elsewhere unheard.
+	// CallersLost: an entry that has heard nothing for as long as agents keep its runs gives up the jobs that it held, because their
+	// callers may have gone to another entry in the meantime.
 	CallersLost Rule = "callers_lost"
-	// HearEnds: soon after such a time a request is taken only if the end of its connection does not follow, and a process that stood still
-	// listens before it places anything.
+	// HearEnds: soon after such a silence, a request is accepted only if its connection does not end right after it, and a process that
+	// stood still reads from its connections before it places any task.
 	HearEnds Rule = "hear_ends"
-	// ReleaseFirst: an entry that is sent a job which another is known to hold begins it only once that one has given it up.
+	// ReleaseFirst: an entry that receives a job which another entry is known to hold begins it only once the other entry has released it.
 	ReleaseFirst Rule = "release_first"
-	// CordonGate: an agent starts nothing while its zone is cordoned, whoever orders it.
+	// CordonGate: an agent starts nothing while its availability zone is cordoned, whichever entry orders it.
 	CordonGate Rule = "cordon_gate"
-	// CordonKnown: an agent that starts takes no work before it has heard which zones are cordoned.
+	// CordonKnown: an agent that starts accepts no work before it knows which availability zones are cordoned.
 	CordonKnown Rule = "cordon_known"
-	// CordonOrder: of two accounts of the cordons the one with the higher version of the store is believed.
+	// CordonOrder: of two lists of cordons, the one with the higher store version is used.
 	CordonOrder Rule = "cordon_order"
-	// CountStopping: a run that is being stopped, or may have started, takes room.
+	// CountStopping: a run that is being stopped, or that may have started, occupies room.
 	CountStopping Rule = "count_stopping"
-	// RoomHeard: an agent that starts takes no work before a heartbeat has told it the room: it may have shrunk while nobody heard.
+	// RoomHeard: an agent that starts accepts no work before a heartbeat has told it the room, which may have shrunk unnoticed.
 	RoomHeard Rule = "room_heard"
-	// CrashAlone: only upstreams that are lost while a task is alone there prove that it crashes them.
+	// CrashAlone: only upstreams that are lost while a task is alone on them prove that the task crashes upstreams.
 	CrashAlone Rule = "crash_alone"
-	// CrashTold: agents tell all entries of the tasks that upstreams were lost under, and those each other.
+	// CrashTold: agents tell all entries about the tasks under which upstreams were lost, and entries tell each other.
 	CrashTold Rule = "crash_told"
-	// CrashStored: a kept job's suspected task starts again only once the crash under it is stored.
+	// CrashStored: a suspected task of a kept job is started again only once its crash is stored.
 	CrashStored Rule = "crash_stored"
-	// WithholdEnds: an upstream may forget the end of a kept job's run only once it is stored.
+	// WithholdEnds: an upstream may forget the end of a kept job's run only once the end is stored.
 	WithholdEnds Rule = "withhold_ends"
-	// AckAfterLapse: an agent that starts lets its upstream forget ends only once the lease before has lapsed.
+	// AckAfterLapse: an agent that starts acknowledges ends to its upstream only once the previous lease has lapsed.
 	AckAfterLapse Rule = "ack_after_lapse"
-	// OwnerLease: an entry acts for kept jobs only while its lease lives.
+	// OwnerLease: an entry acts for kept jobs only while it holds its lease on them.
 	OwnerLease Rule = "owner_lease"
-	// AskFirst: an entry that takes a kept job over asks all agents for its ends before it starts anything.
+	// AskFirst: an entry that takes over a kept job asks all agents for the ends of its runs before it starts any task.
 	AskFirst Rule = "ask_first"
-	// StoreFirst: a kept job is accepted only once it is stored, and shown as ended only once its end is.
+	// StoreFirst: a kept job is accepted only once it is stored, and reported as ended only once its end is stored.
 	StoreFirst Rule = "store_first"
 )
 
-// All lists the rules.
+// All lists all rules.
 var All = []Rule{
 	SettleWait, StopsFirst, RunIDs, EchoedClock, FreshSession, CountSuspensions, StopSilent, FenceUnsure, SameTaskWaits, LapseBudget, LookFirst,
-	ConfirmLife, LifeBorn, CallersLost, HearEnds, ReleaseFirst, CordonGate, CordonKnown, CordonOrder, CountStopping, RoomHeard, CrashAlone, CrashTold, CrashStored, WithholdEnds, AckAfterLapse, OwnerLease, AskFirst, StoreFirst,
+	ConfirmLife, LifeBorn, CallersLost, HearEnds, ReleaseFirst, CordonGate, CordonKnown, CordonOrder, CountStopping, RoomHeard,
+	CrashAlone, CrashTold, CrashStored, WithholdEnds, AckAfterLapse, OwnerLease, AskFirst, StoreFirst,
 }
 
 // Set is a set of rules that are left out.
 type Set map[Rule]bool
 
-// Without returns a Set that leaves out the rules named.
+// Without returns the Set of the given rules.
 func Without(rules ...Rule) Set {
 	s := make(Set, len(rules))
 	for _, r := range rules {
@@ -88,5 +88,5 @@
 	return s
 }
 
-// Off tells whether a rule is left out.
+// Has reports whether the set contains r, which means that r is left out.
 func (s Set) Has(r Rule) bool { return s[r] }
--- a/internal/core/verdict/verdict.go
+++ b/internal/core/verdict/verdict.go
@@ -1,56 +1,56 @@
-// Package verdict says whether a request may have run. Every error that reaches a caller carries a verdict.
+// Package verdict says whether a request may have run. Every error that reaches a caller has a verdict.
 package verdict
 
 import "github.com/pkg/errors"
 
-// Verdict tells what is known of a task or of a whole request.
+// Verdict says whether a task, or any part of a whole request, has run.
 type Verdict string
 
 // The verdicts.
 const (
-	// Ran: the upstream received the task and answered it.
+	// Ran: the upstream received the task and answered.
 	Ran Verdict = "ran"
-	// NotRun: nothing of it has run or will run under this request.
+	// NotRun: no part of it has run, or will run under this request.
 	NotRun Verdict = "not_run"
-	// MayHaveRun: nobody who is left can tell.
+	// MayHaveRun: no remaining process knows whether it has run.
 	MayHaveRun Verdict = "may_have_run"
 )
 
-// State is where a job stands, as callers read it.
+// State is the state of a job, as callers read it.
 type State string
 
-// The states. Complete and Failed are a job's outcome, the others are answers for now.
+// The states. Complete, Failed and Cancelled are final; the others describe the moment of the answer.
 const (
 	// Complete: every task ran and succeeded.
 	Complete State = "complete"
-	// Failed: a task has failed as often as its job allows.
+	// Failed: a task has failed as often as the job allows.
 	Failed State = "failed"
-	// Accepted: the job is kept, and will end whatever happens to hillreel's processes.
+	// Accepted: the job is stored, and will end whatever happens to hillreel's processes.
 	Accepted State = "accepted"
-	// Pending: nothing of the job is known to have begun.
+	// Pending: as far as the entry knows, no part of the job has begun.
 	Pending State = "pending"
-	// Running: work goes on.
+	// Running: parts of the job have begun and the job has not ended.
 	Running State = "running"
-	// Cancelled: the job was cancelled; nothing of it begins any more.
+	// Cancelled: the job was cancelled; no part of it starts any more.
 	Cancelled State = "cancelled"
-	// Unresolved: the entry has given the job up without a result; sent again under the same id, it may still end.
+	// Unresolved: the entry has given the job up without a result. If it is sent again under the same ID, it may still end.
 	Unresolved State = "unresolved"
-	// Refused: this request was not taken; the job, if there is one, is untouched by it.
+	// Refused: this request was refused. A job that exists under its ID is not affected.
 	Refused State = "refused"
-	// Unknown: the entry that was asked holds no job under this id.
+	// Unknown: the entry that received the request has no job with this ID.
 	Unknown State = "unknown"
 )
 
-// Reason says why, in one word, beside a verdict or a state.
+// Reason explains a verdict or a state in one word.
 type Reason string
 
-// The reasons, as they stand in answers, logs and metrics.
+// The reasons, as they appear in answers, logs and metrics.
 const (
 	BadID      Reason = "bad_id"
 	BadRequest Reason = "bad_request"
 	CallerGone Reason = "caller_gone"
 	ByCaller   Reason = "cancelled"
-	// Cordoned: operators have cordoned all upstreams that could serve.
+	// Cordoned: operators have cordoned all upstreams that could run the job.
 	Cordoned Reason = "cordoned"
 	Conflict Reason = "conflict"
 	// CrashesUpstreams: a task crashes the upstreams that start it.
@@ -60,7 +60,7 @@
 	LeaseLost        Reason = "lease_lost"
 	Leaving          Reason = "entry_leaving"
 	NotFound         Reason = "not_found"
-	// OutOfTouch: the entry stood still or was cut off, and can't tell whether the caller is still there.
+	// OutOfTouch: the entry stood still or was cut off, and does not know whether the caller is still there.
 	OutOfTouch   Reason = "out_of_touch"
 	Overloaded   Reason = "overloaded"
 	Superseded   Reason = "superseded"
@@ -84,7 +84,7 @@
 	return &Error{Verdict: v, Reason: r, Cause: errors.New(message)}
 }
 
-// Error prints reason and cause.
+// Error returns the reason, followed by the cause if there is one.
 func (e *Error) Error() string {
 	if e.Cause == nil {
 		return string(e.Reason)
@@ -95,7 +95,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Of returns the verdict that err carries. An error without one may have run: silence proves nothing.
+// Of returns the verdict of err. Without one it returns MayHaveRun: a missing answer does not prove that nothing ran.
 func Of(err error) Verdict {
 	var e *Error
 	if errors.As(err, &e) {
