--- a/internal/core/metrics/histogram.go
+++ b/internal/core/metrics/histogram.go
@@ -6,14 +6,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The bounds of a histogram, in microseconds: 0.1 ms to 2 min; and its precision, in decimal digits.
+// The bounds of a histogram in microseconds, 0.1 ms and 2 min, and its precision in decimal digits.
 const (
 	lowestUs  = 100
 	highestUs = 120_000_000
 	digits    = 2
 )
 
-// Histogram holds times between 0.1 ms and 2 min; others count as the nearer of the two. One goroutine uses it.
+// Histogram counts times between 0.1 ms and 2 min; times outside are counted as the nearer bound. It must be used by one goroutine only.
 type Histogram struct{ h *hdrhistogram.Histogram }
 
 // NewHistogram returns an empty Histogram.
@@ -23,14 +23,14 @@
 func (h *Histogram) Record(d time.Duration) {
 	us := min(max(d.Microseconds(), lowestUs), highestUs)
 	if err := h.h.RecordValue(us); err != nil {
-		panic("metrics: " + err.Error()) // the value was just brought into range
+		panic("metrics: " + err.Error()) // can't happen: us is within the bounds
 	}
 }
 
-// Percentile returns the time that so many percent of all do not exceed, in milliseconds.
+// Percentile returns the time in milliseconds that the given percentage of the recorded times do not exceed.
 func (h *Histogram) Percentile(percent float64) float64 {
 	return milliseconds(h.h.ValueAtQuantile(percent))
 }
 
-// milliseconds converts a number of microseconds.
+// milliseconds converts microseconds to milliseconds.
 func milliseconds(us int64) float64 { return float64(us) / 1000 }
--- a/internal/core/metrics/margins.go
+++ b/internal/core/metrics/margins.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Margins holds, for each time that a promise rests on, the worst that was seen beside what is promised. It is safe for use by many
-// goroutines.
+// Margins records, for each time that a guarantee depends on, the worst value seen next to the promised bound. It is safe for concurrent
+// use.
 type Margins struct {
 	mu   sync.Mutex
 	keys map[string]*margin
 }
 
-// margin is what is kept of one time.
+// margin holds the values of one key.
 type margin struct {
 	promised, worst time.Duration
 	count, over     int64
 }
 
-// NewMargins returns an empty set, published under a name unless another set already is.
+// NewMargins returns the Margins published under name, and creates them if there are none.
 func NewMargins(name string) *Margins {
 	registryMu.Lock()
 	defer registryMu.Unlock()
@@ -32,41 +32,41 @@
 	return m
 }
 
-// margins are the sets by name; publishing guards them.
+// marginSets holds all Margins by name. registryMu guards it.
 var marginSets = make(map[string]*Margins)
 
-// Record adds one time to those of a key, and what is promised of it.
+// Record records one value of key, and the bound that is promised for it.
 func (m *Margins) Record(key string, seen, promised time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	have := m.keys[key]
-	if have == nil {
-		have = &margin{}
-		m.keys[key] = have
+	current := m.keys[key]
+	if current == nil {
+		current = &margin{}
+		m.keys[key] = current
 	}
-	have.promised, have.worst = promised, max(have.worst, seen)
-	have.count++
+	current.promised, current.worst = promised, max(current.worst, seen)
+	current.count++
 	if seen > promised {
-		have.over++
+		current.over++
 	}
 }
 
-// marginSummary is what is served of one time.
+// marginSummary is the published form of a margin.
 type marginSummary struct {
 	Count    int64   `json:"count"`
 	Worst    float64 `json:"worst_ms"`
 	Promised float64 `json:"promised_ms"`
-	// Over counts the times beyond what is promised.
+	// Over is the number of values above the promised bound.
 	Over int64 `json:"over"`
 }
 
-// report summarises all times, for expvar.
+// report returns the summary of all keys, for expvar.
 func (m *Margins) report() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make(map[string]marginSummary, len(m.keys))
-	for key, have := range m.keys {
-		out[key] = marginSummary{have.count, milliseconds(have.worst.Microseconds()), milliseconds(have.promised.Microseconds()), have.over}
+	for key, current := range m.keys {
+		out[key] = marginSummary{current.count, milliseconds(current.worst.Microseconds()), milliseconds(current.promised.Microseconds()), current.over}
 	}
 	return out
 }
--- a/internal/core/metrics/margins_test.go
+++ b/internal/core/metrics/margins_test.go
@@ -11,7 +11,7 @@
 	"hillreel/internal/core/metrics"
 )
 
-// TestMargins: the worst of all times stands beside what is promised, and how many were beyond it.
+// TestMargins checks that the worst value and the number of values above the promised bound are reported.
 func TestMargins(t *testing.T) {
 	for i, test := range []struct {
 		name string
@@ -23,7 +23,7 @@
 		{"none", nil, `{}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			name := fmt.Sprintf("margins%d.%d", time.Now().UnixNano(), i) // sets last as long as the process
+			name := fmt.Sprintf("margins%d.%d", time.Now().UnixNano(), i) // published sets can't be removed
 			m := metrics.NewMargins(name)
 			for _, d := range test.seen {
 				m.Record("tick", d, 50*time.Millisecond)
--- a/internal/core/metrics/metrics.go
+++ b/internal/core/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics holds the counters and latency histograms of a process and serves them by expvar.
+// Package metrics holds the counters and latency histograms of a process and publishes them through expvar.
 package metrics
 
 import (
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Counters counts events by name.
+// Counters counts events by their names.
 type Counters struct{ vars *expvar.Map }
 
-// NewCounters publishes an empty set of counters under a name. A process that asks again, as one with several nodes
-// does, gets the same set.
+// NewCounters returns the counters published under name, and creates them if there are none. A process with several nodes calls it once
+// for each node; the nodes share the counters.
 func NewCounters(name string) *Counters {
 	registryMu.Lock()
 	defer registryMu.Unlock()
@@ -21,16 +21,16 @@
 	return &Counters{expvar.NewMap(name)}
 }
 
-// Add counts n events.
+// Add adds n to the counter of event.
 func (c *Counters) Add(event string, n int64) { c.vars.Add(event, n) }
 
-// Latencies holds one histogram for each key. It is safe for use by many goroutines.
+// Latencies holds one histogram for each key. It is safe for concurrent use.
 type Latencies struct {
 	mu   sync.Mutex
 	keys map[string]*Histogram
 }
 
-// NewLatencies returns an empty set of histograms, published under a name unless another set already is.
+// NewLatencies returns the Latencies published under name, and creates them if there are none.
 func NewLatencies(name string) *Latencies {
 	registryMu.Lock()
 	defer registryMu.Unlock()
@@ -43,7 +43,7 @@
 	return l
 }
 
-// Report publishes what f returns, under a name; of several nodes of one process the newest is reported.
+// Report publishes the result of f under name. If several nodes of a process use the same name, the newest f is reported.
 func Report(name string, f func() any) {
 	registryMu.Lock()
 	defer registryMu.Unlock()
@@ -53,23 +53,23 @@
 	reports[name] = f
 }
 
-// reportOf returns what is reported under a name now.
+// reporter returns the function that currently reports under name.
 func reporter(name string) func() any {
 	registryMu.Lock()
 	defer registryMu.Unlock()
 	return reports[name]
 }
 
-// publishing lets one goroutine at a time look for a set and publish it; published holds the histograms by name, for processes
-// with several nodes, which share them.
+// registryMu guards the sets below and makes the lookup and publication of a set atomic. latencySets holds the latencies by name, so that
+// the nodes of one process share them.
 var (
 	registryMu  sync.Mutex
 	latencySets = make(map[string]*Latencies)
-	// reports are the functions whose results are served, by name.
+	// reports holds the functions given to Report, by name.
 	reports = make(map[string]func() any)
 )
 
-// Record adds one time.
+// Record adds one time to the histogram of key.
 func (l *Latencies) Record(key string, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +81,7 @@
 	h.Record(d)
 }
 
-// summary is what is served of one histogram, in milliseconds.
+// summary is the published form of a histogram, in milliseconds.
 type summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -90,7 +90,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// report summarises all histograms, for expvar.
+// report returns the summary of all histograms, for expvar.
 func (l *Latencies) report() any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/core/metrics/metrics_test.go
+++ b/internal/core/metrics/metrics_test.go
@@ -13,11 +13,11 @@
 	"hillreel/internal/core/metrics"
 )
 
-// TestNodesShareSets: nodes of one process that start side by side share the sets of a name; publishing one twice would end the
-// process.
+// TestNodesShareSets guards against a crash at startup: nodes of one process that start concurrently use the same names, and publishing a
+// name twice ends the process.
 func TestNodesShareSets(t *testing.T) {
 	const nodes = 50
-	run := fmt.Sprint(time.Now().UnixNano()) // sets last as long as the process
+	run := fmt.Sprint(time.Now().UnixNano()) // published sets can't be removed
 	var group sync.WaitGroup
 	begin := make(chan struct{})
 	for range nodes {
@@ -33,7 +33,7 @@
 	qt.Assert(t, expvar.Get("latencies"+run).String(), qt.Contains, `"count":50`)
 }
 
-// TestReport: the newest report under a name is served.
+// TestReport checks that the newest report under a name is served.
 func TestReport(t *testing.T) {
 	for _, want := range []int{1, 2} {
 		metrics.Report("a_report", func() any { return want })
--- a/internal/core/ops/ops.go
+++ b/internal/core/ops/ops.go
@@ -1,5 +1,5 @@
-// Package ops serves a process's metrics port: health, readiness and metrics, and, for a bearer of the operators'
-// token, whatever routes the role adds.
+// Package ops serves the metrics port of a process: health, readiness and metrics for everyone, and for holders of an operator's token the
+// routes that the process adds.
 package ops
 
 import (
@@ -17,12 +17,12 @@
 	"hillreel/internal/core/web"
 )
 
-// Handler serves health and metrics to everybody, and routes to bearers of a token; routes may be nil.
+// Handler serves health, readiness and metrics without a token, and routes to holders of a token. routes may be nil.
 func Handler(tokens []Token, ready func() (bool, string), routes func(chi.Router)) http.Handler {
 	s := &authorizer{tokens}
 	r := chi.NewRouter()
 	r.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) {
-		w.Write([]byte("alive\n")) //nolint:errcheck // the caller has gone
+		w.Write([]byte("alive\n")) //nolint:errcheck // fails only if the caller has gone
 	})
 	r.Get("/readyz", web.Readiness(ready))
 	r.Handle("/metrics", expvar.Handler())
@@ -35,10 +35,10 @@
 	return r
 }
 
-// server checks tokens.
+// authorizer checks bearer tokens.
 type authorizer struct{ tokens []Token }
 
-// authorize lets only bearers of a token pass; without a token in the settings, nobody does.
+// authorize calls next only for requests with a valid token. If the settings have no token, it refuses all requests.
 func (s *authorizer) authorize(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		given, isBearer := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -48,14 +48,14 @@
 				return
 			}
 		}
-		web.WriteJSON(w, http.StatusUnauthorized, &api.Answer{ //nolint:errcheck // the caller has gone
+		web.WriteJSON(w, http.StatusUnauthorized, &api.Answer{ //nolint:errcheck // fails only if the caller has gone
 			State: verdict.Refused, Verdict: verdict.NotRun, Reason: verdict.Unauthorized,
 			Message: "a valid bearer token is needed",
 		})
 	})
 }
 
-// sameSecret compares in a time that tells nothing of either.
+// sameSecret compares two secrets in a time that depends on neither of them.
 func sameSecret(a, b string) bool {
 	x, y := sha256.Sum256([]byte(a)), sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
--- a/internal/core/ops/ops_test.go
+++ b/internal/core/ops/ops_test.go
@@ -12,8 +12,8 @@
 	"hillreel/internal/core/settings"
 )
 
-// TestAuthorization: metrics and health are open, as the platform's collector and balancer have no token; the
-// operators' routes are not.
+// TestAuthorization checks that metrics and health need no token, because the platform's collector and load balancer have none, and that
+// the operators' routes need one.
 func TestAuthorization(t *testing.T) {
 	routes := func(r chi.Router) { r.Get("/v1/config", func(http.ResponseWriter, *http.Request) {}) }
 	for _, test := range []struct {
--- a/internal/core/ops/tokens.go
+++ b/internal/core/ops/tokens.go
@@ -7,18 +7,18 @@
 	"hillreel/internal/core/settings"
 )
 
-// Role says what a principal may do.
+// Role is the set of rights of a principal.
 type Role string
 
 // The roles.
 const (
-	// RoleRead reads.
+	// RoleRead may only read.
 	RoleRead Role = "read"
-	// RoleAll reads and changes everything.
+	// RoleAll may read and change everything.
 	RoleAll Role = "all"
 )
 
-// Principal is who bears a token.
+// Principal is the holder of a token.
 type Principal struct {
 	Name string
 	Role Role
@@ -30,16 +30,16 @@
 	Secret settings.Secret
 }
 
-// principalKey is where a request's context holds its principal.
+// principalKey is the key of the principal in a request's context.
 type principalKey struct{}
 
-// PrincipalOf returns who sent a request that was authorized.
+// PrincipalOf returns the principal of an authorized request, from the request's context.
 func PrincipalOf(ctx context.Context) Principal {
 	p, _ := ctx.Value(principalKey{}).(Principal)
 	return p
 }
 
-// Tokens reads the tokens of the settings, which were checked when they were loaded.
+// Tokens returns the tokens in the settings. Malformed tokens are skipped: loading the settings has already refused them.
 func Tokens(e settings.Entry) []Token {
 	out := []Token{{Principal{Name: "operator", Role: RoleAll}, e.OperatorToken}}
 	for _, text := range e.OperatorTokens {
