--- a/internal/core/ident/ident.go
+++ b/internal/core/ident/ident.go
@@ -1,4 +1,4 @@
-// Package ident defines the named types for the ids and units that hillreel's processes share.
+// Package ident defines named types for the IDs and versions that hillreel's processes share.
 package ident
 
 import (
@@ -6,45 +6,45 @@
 	"strconv"
 )
 
-// Named types for the things that a process must not mix up.
+// Distinct types keep values of different kinds from being mixed up.
 type (
-	// UpstreamName is an upstream's name in settings and configuration.
+	// UpstreamName is the name of an upstream in settings and configuration.
 	UpstreamName string
-	// UpstreamID names an upstream. One that starts again may have another, or the same: only an UpstreamLife is certain.
+	// UpstreamID is the ID of an upstream. An upstream that restarts may have a new ID or the same one; only an UpstreamLife is unique.
 	UpstreamID string
-	// Born is when a life of an upstream began, in Unix milliseconds by its own VM's time of day: lives of one id differ in it, but
-	// only the upstream itself can tell which is the later. Zero is not told.
+	// Born is the time at which a life of an upstream began, in Unix milliseconds by the clock of its VM. Lives with the same ID differ in
+	// Born, but only the upstream itself knows which one is later. Zero is unknown.
 	Born int64
-	// Zone is an availability zone.
+	// Zone is the name of an availability zone.
 	Zone string
-	// Service is the kind of work that a pool of upstreams serves.
+	// Service is the kind of work that a pool of upstreams does.
 	Service string
-	// Address is an IP number and port, as in "127.0.0.1:7400".
+	// Address is an IP address and port, as in "127.0.0.1:7400".
 	Address string
-	// Incarnation is one life of one process, drawn at random when it starts. Zero is none.
+	// Incarnation identifies one start of a process. It is a random number; zero is none.
 	Incarnation uint64
-	// ConfigVersion orders configurations; it only grows.
+	// ConfigVersion is the version of a configuration; it only grows.
 	ConfigVersion uint64
 )
 
-// UpstreamLife is one life of an upstream: nothing that it has counted, been told or run outlasts it.
+// UpstreamLife is one life of an upstream, from start to end. Its counters, runs and everything it was told end with it.
 type UpstreamLife struct {
 	ID   UpstreamID
 	Born Born
 }
 
-// String prints a life as its id and its start.
+// String returns the ID and the start of the life.
 func (l UpstreamLife) String() string {
 	return string(l.ID) + "@" + strconv.FormatInt(int64(l.Born), 10)
 }
 
-// String prints an incarnation as fixed-width hexadecimal.
+// String returns the incarnation as 16 hexadecimal digits.
 func (i Incarnation) String() string {
 	s := strconv.FormatUint(uint64(i), 16)
 	return "0000000000000000"[len(s):] + s
 }
 
-// NewIncarnation draws an incarnation that no other process has, but for chance in 2^64.
+// NewIncarnation returns a random incarnation. The chance that another process has the same one is 1 in 2^64.
 func NewIncarnation() Incarnation {
 	for {
 		if i := Incarnation(rand.Uint64()); i != 0 {
--- a/internal/core/invariant/invariant.go
+++ b/internal/core/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant asserts, at run time and always, what must hold. A violation is counted and logged;
-// in tests and in the demo it ends the process.
+// Package invariant checks invariants at run time, in production too. A violation is counted and logged; in tests and in the demo it also
+// ends the process.
 package invariant
 
 import (
@@ -9,18 +9,18 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Name is an invariant's name, as counted in expvar.
+// Name is the name of an invariant, as it appears in logs and metrics.
 type Name string
 
 // The invariants.
 const (
-	// RoomKept: an agent starts nothing beyond its upstream's room (internal/agent/upstream).
+	// RoomKept: an agent starts nothing beyond the room of its upstream (internal/agent/upstream).
 	RoomKept Name = "room_kept"
-	// AnsweredOnce: a job has one final answer (internal/entry/dispatch).
+	// AnsweredOnce: a job has exactly one final answer (internal/entry/dispatch).
 	AnsweredOnce Name = "answered_once"
-	// NotRunIsTrue: a job that is called not_run has nothing at any agent (internal/entry/dispatch).
+	// NotRunIsTrue: a job that is reported as not_run has no runs at any agent (internal/entry/dispatch).
 	NotRunIsTrue Name = "not_run_is_true"
-	// ConfigOnlyGrows: a process never goes back to an older configuration (internal/entry/node).
+	// ConfigOnlyGrows: a process never returns to an older configuration (internal/entry/node).
 	ConfigOnlyGrows Name = "config_only_grows"
 )
 
@@ -30,10 +30,10 @@
 	fatal  atomic.Bool
 )
 
-// SetFatal makes every later violation panic. Tests and the demo set it.
+// SetFatal controls whether later violations panic. Tests and the demo turn this on.
 func SetFatal(on bool) { fatal.Store(on) }
 
-// Check counts a violation of name unless ok. detail is called only then.
+// Check counts and logs a violation of the invariant name unless ok. It calls detail, which may be nil, only in that case.
 func Check(ok bool, name Name, detail func() logrus.Fields) {
 	if ok {
 		return
@@ -52,5 +52,5 @@
 	}
 }
 
-// Violations returns how many there were in this process.
+// Violations returns the number of violations in this process.
 func Violations() int64 { return total.Load() }
--- a/internal/core/kernel/kernel.go
+++ b/internal/core/kernel/kernel.go
@@ -1,5 +1,5 @@
-// Package kernel is hillreel's micro-kernel: services register under a name, find each other by name, and
-// are started in the order of registration and stopped in the reverse order.
+// Package kernel manages the services of a process: they register under a name, find each other by name, start in the order of
+// registration, and stop in the reverse order.
 package kernel
 
 import (
@@ -10,9 +10,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Service is a part of a process.
+// Service is a part of a process that can be started and stopped.
 type Service interface {
-	// Start returns once the service is ready, or says why it can't be.
+	// Start returns nil once the service is ready, or an error if it can't start.
 	Start(ctx context.Context) error
 	// Stop returns once the service has ended.
 	Stop()
@@ -28,12 +28,12 @@
 	running  []string
 }
 
-// New returns a Kernel without services.
+// New returns a Kernel without services that logs to log.
 func New(log *logrus.Entry) *Kernel {
 	return &Kernel{log: log, services: make(map[string]Service)}
 }
 
-// Register adds a service. A name is registered once.
+// Register adds a service. It returns an error if the name is already in use.
 func (k *Kernel) Register(name string, s Service) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -45,7 +45,8 @@
 	return nil
 }
 
-// Find returns the service registered under name, as the interface its user declares.
+// Find returns the service registered under name as a T, usually an interface that the caller declares. It returns an error if there is
+// no such service or it is not a T.
 func Find[T any](k *Kernel, name string) (T, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -61,7 +62,7 @@
 	return found, nil
 }
 
-// Start starts all services in order. When one fails, those before it are stopped again.
+// Start starts all services in order. If one fails, it stops those that were started and returns the error.
 func (k *Kernel) Start(ctx context.Context) error {
 	for _, name := range k.names {
 		if err := k.services[name].Start(ctx); err != nil {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// Stop stops the running services, the last started first.
+// Stop stops the running services in the reverse order of their start.
 func (k *Kernel) Stop() {
 	for i := len(k.running) - 1; i >= 0; i-- {
 		k.services[k.running[i]].Stop()
--- a/internal/core/kernel/kernel_test.go
+++ b/internal/core/kernel/kernel_test.go
@@ -17,7 +17,7 @@
 	log   *[]string
 }
 
-// Start is for the kernel.
+// Start implements kernel.Service.
 func (s *service) Start(context.Context) error {
 	if s.fails {
 		return errors.New("no port")
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// Stop is for the kernel.
+// Stop implements kernel.Service.
 func (s *service) Stop() { *s.log = append(*s.log, "-"+s.name) }
 
 func TestOrder(t *testing.T) {
