--- a/internal/core/logs/logs.go
+++ b/internal/core/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs sets up logging: one line of key=value pairs for each event. Lines are written by a goroutine of
-// their own, at a bounded rate; what does not fit is dropped and counted, so that logging never holds up work.
+// Package logs sets up logging: one line of key=value pairs for each event. A separate goroutine writes the lines, at a bounded rate;
+// lines above that rate are dropped and counted, so that logging never delays work.
 package logs
 
 import (
@@ -13,21 +13,21 @@
 	"github.com/sirupsen/logrus"
 )
 
-// dropped counts lines that were not written.
+// dropped is the number of lines that were not written.
 var dropped = expvar.NewInt("log_lines_dropped")
 
-// backlog is how many lines may wait to be written.
+// backlog is how many lines may be queued for writing.
 const backlog = 1024
 
-// burst is how many seconds' worth of lines may come at once.
+// burstSeconds is how many seconds' worth of lines may be written at once.
 const burstSeconds = 5
 
-// Writer passes lines on to another writer without ever blocking its caller.
+// Writer passes lines on to another writer and never blocks its caller.
 type Writer struct {
 	out   io.Writer
 	lines chan []byte
 	rate  float64
-	// pending counts the lines that wait to be written, or are being written.
+	// pending is the number of lines that are queued or being written.
 	pending atomic.Int64
 
 	mu       sync.Mutex
@@ -35,7 +35,7 @@
 	refilled time.Time
 }
 
-// NewWriter returns a Writer that passes on at most rate lines a second, over a few seconds.
+// NewWriter returns a Writer that passes on at most rate lines a second, averaged over burstSeconds.
 func NewWriter(out io.Writer, rate int) *Writer {
 	w := &Writer{
 		out: out, lines: make(chan []byte, backlog), rate: float64(rate), tokens: float64(rate * burstSeconds), refilled: time.Now(),
@@ -44,7 +44,7 @@
 	return w
 }
 
-// Write queues a line. It never fails.
+// Write queues a line, or drops it if the queue is full or the rate is exceeded. It never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	if !w.takeToken(time.Now()) {
 		dropped.Add(1)
@@ -60,16 +60,17 @@
 	return len(line), nil
 }
 
-// flushPoll is how often Flush looks whether all is written.
+// flushPoll is how often Flush checks whether all lines are written.
 const flushPoll = time.Millisecond
 
-// Flush returns when the lines that wait are written, or after limit: whoever reads them may have stopped.
+// Flush returns once all queued lines are written, or after limit: the process that reads them may have stopped.
 func (w *Writer) Flush(limit time.Duration) {
 	for until := time.Now().Add(limit); w.pending.Load() > 0 && time.Now().Before(until); {
 		time.Sleep(flushPoll)
 	}
 }
 
+// takeToken takes a token for one line from the token bucket and reports whether there was one.
 func (w *Writer) takeToken(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -82,7 +83,7 @@
 	return true
 }
 
-// run writes what has gathered, as much at once as there is.
+// run writes the queued lines; it joins all that are waiting into one write.
 func (w *Writer) run() {
 	for line := range w.lines {
 		count := int64(1)
@@ -102,7 +103,8 @@
 	}
 }
 
-// New returns the logger of one process, writing to out. Every line names its role and node.
+// New returns the logger of one process, which writes to out. Every line contains the process's role and node. It returns an error if the
+// level is unknown.
 func New(out io.Writer, level string, role, node string) (*logrus.Entry, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
@@ -115,15 +117,15 @@
 	return l.WithFields(logrus.Fields{"role": role, "node": node}), nil
 }
 
-// Flush writes what a logger's Writer has not written yet, within limit. A process that ends without it loses its last
-// lines, so that an orderly end can't be told from one that was cut short.
+// Flush writes the lines that a logger's Writer has queued, within limit. A process that ends without calling Flush loses its last lines,
+// and an orderly end then looks like a crash.
 func Flush(log *logrus.Entry, limit time.Duration) {
 	if w, ok := log.Logger.Out.(*Writer); ok {
 		w.Flush(limit)
 	}
 }
 
-// Discard returns a logger that writes nothing, for tests.
+// Discard returns a logger that writes nothing, for use in tests.
 func Discard() *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
--- a/internal/core/logs/logs_test.go
+++ b/internal/core/logs/logs_test.go
@@ -14,7 +14,7 @@
 	"hillreel/internal/core/logs"
 )
 
-// stuck is an output that nobody reads.
+// stuck is an output whose writes block until release is closed.
 type stuck struct{ release chan struct{} }
 
 func (s *stuck) Write(p []byte) (int, error) {
@@ -22,7 +22,7 @@
 	return len(p), nil
 }
 
-// counted counts what it is given.
+// counted is an output that counts the lines it receives.
 type counted struct {
 	mu    sync.Mutex
 	lines int
@@ -40,7 +40,7 @@
 	return n
 }
 
-// TestNeverBlocks: an output that takes nothing holds nobody up; what does not fit is counted.
+// TestNeverBlocks checks that an output that blocks does not block the logger, and that dropped lines are counted.
 func TestNeverBlocks(t *testing.T) {
 	out := &stuck{make(chan struct{})}
 	defer close(out.release)
@@ -61,7 +61,7 @@
 	qt.Assert(t, dropped()-before > 15_000, qt.IsTrue)
 }
 
-// TestVolumeIsBounded: more lines than the rate allows over five seconds are dropped and counted.
+// TestVolumeIsBounded checks that lines above the rate, over burstSeconds, are dropped and counted.
 func TestVolumeIsBounded(t *testing.T) {
 	out := &counted{}
 	w := logs.NewWriter(out, 20)
@@ -77,7 +77,7 @@
 	qt.Assert(t, dropped()-before, qt.Equals, int64(1000-out.lines))
 }
 
-// TestFlush: what a process logs last is written before it ends, and a reader that has stopped does not hold up its end.
+// TestFlush checks that the last lines of a process are written before it ends, and that a blocked reader does not delay its end.
 func TestFlush(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -102,7 +102,7 @@
 	}
 }
 
-// slow is an output that takes its time.
+// slow is an output whose writes take some time.
 type slow struct {
 	pause time.Duration
 	mu    sync.Mutex
--- a/internal/core/loop/loop.go
+++ b/internal/core/loop/loop.go
@@ -1,30 +1,30 @@
-// Package loop runs a process's control state on one goroutine: events come in through a queue and are
-// handled one at a time, with a tick between them.
+// Package loop runs the control state of a process on one goroutine: events are queued and handled one at a time, with periodic ticks in
+// between.
 package loop
 
 import (
 	"time"
 )
 
-// backlog is how many events may wait; whoever posts more waits too.
+// backlog is how many events may be queued before Post blocks.
 const backlog = 1 << 14
 
-// Event is what the control goroutine handles. A func() is called, all else goes to the handler.
+// Event is an event for the control goroutine. A func() is called; any other event goes to the handler.
 type Event any
 
-// Loop is one control goroutine.
+// Loop is the event queue of one control goroutine.
 type Loop struct {
 	events chan Event
 	stop   chan struct{}
 	done   chan struct{}
 }
 
-// New returns a Loop that has not begun.
+// New returns a Loop; call Run to start handling events.
 func New() *Loop {
 	return &Loop{make(chan Event, backlog), make(chan struct{}), make(chan struct{})}
 }
 
-// Post queues an event. After Stop it is dropped and Post returns false.
+// Post queues an event and returns true. After the loop has ended, it drops the event and returns false.
 func (l *Loop) Post(e Event) bool {
 	select {
 	case l.events <- e:
@@ -34,7 +34,7 @@
 	}
 }
 
-// Call runs f on the control goroutine and waits for it, unless the loop has ended.
+// Call runs f on the control goroutine and waits until f has returned. If the loop has ended, f may not run.
 func (l *Loop) Call(f func()) {
 	done := make(chan struct{})
 	if !l.Post(func() { f(); close(done) }) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// Run handles events and ticks until Stop.
+// Run handles events, and calls tick at the interval every, until Stop is called.
 func (l *Loop) Run(every time.Duration, handle func(Event), tick func()) {
 	defer close(l.done)
 	ticker := time.NewTicker(every)
@@ -67,7 +67,7 @@
 	}
 }
 
-// Stop ends Run and waits for it.
+// Stop ends Run and waits until it has returned.
 func (l *Loop) Stop() {
 	close(l.stop)
 	<-l.done
