--- a/internal/core/web/read_test.go
+++ b/internal/core/web/read_test.go
@@ -17,7 +17,7 @@
 	"hillreel/internal/standin/loopback"
 )
 
-// counted is a connection that counts what the server has read.
+// countingConn is a connection that counts the bytes that the server has read.
 type countingConn struct {
 	net.Conn
 	read atomic.Int64
@@ -29,10 +29,10 @@
 	return n, err
 }
 
-// counting is a listener of such connections, by their callers' addresses.
+// countingListener makes its connections countingConns and holds them by the callers' addresses.
 type countingListener struct {
 	net.Listener
-	by sync.Map
+	byCaller sync.Map
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	out := &countingConn{Conn: c}
-	l.by.Store(c.RemoteAddr().String(), out)
+	l.byCaller.Store(c.RemoteAddr().String(), out)
 	return out, nil
 }
 
@@ -51,14 +51,15 @@
 	rawRequest    = "PUT /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}"
 )
 
-// TestWhatIsReadIsAnswered: callers that use open connections send a request in the very moment in which the server shuts down.
-// Those whose request the server has read are answered; the others see that it was not read, and nothing of it has run.
+// TestReadRequestsAreAnswered guards against requests that are read and then dropped: callers on open connections send a request at the
+// moment at which the server shuts down. Requests that the server has read must be answered. The other callers must see that theirs was
+// not read, so that no part of it has run.
 func TestReadRequestsAreAnswered(t *testing.T) {
 	answered, unread := 0, 0
 	for round := range shutdowns {
 		s := New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			io.Copy(io.Discard, r.Body) //nolint:errcheck // the test notices
-			io.WriteString(w, "ok")     //nolint:errcheck // likewise
+			io.Copy(io.Discard, r.Body) //nolint:errcheck // the client would fail
+			io.WriteString(w, "ok")     //nolint:errcheck // the client would fail
 		}), Internal)
 		plain, err := net.Listen("tcp", string(s.address))
 		qt.Assert(t, err, qt.IsNil)
@@ -69,21 +70,21 @@
 			c, err := net.Dial("tcp", s.Address())
 			qt.Assert(t, err, qt.IsNil)
 			conns = append(conns, c)
-			qt.Assert(t, ask(c), qt.IsNil)
+			qt.Assert(t, roundTrip(c), qt.IsNil)
 		}
 		var group sync.WaitGroup
 		var mu sync.Mutex
 		for _, c := range conns {
 			group.Go(func() {
 				defer c.Close()
-				err := ask(c)
+				err := roundTrip(c)
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
 					answered++
 					return
 				}
-				seen, _ := ln.by.Load(c.LocalAddr().String())
+				seen, _ := ln.byCaller.Load(c.LocalAddr().String())
 				if read := seen.(*countingConn).read.Load(); read == 2*int64(len(rawRequest)) {
 					t.Errorf("round %d: a request was read whole and not answered: %v", round, err)
 				}
@@ -100,8 +101,8 @@
 	qt.Assert(t, answered > 0, qt.IsTrue)
 }
 
-// ask sends a request and reads its answer.
-func ask(c net.Conn) error {
+// roundTrip sends a request and reads the answer.
+func roundTrip(c net.Conn) error {
 	if _, err := io.WriteString(c, rawRequest); err != nil {
 		return err
 	}
--- a/internal/core/web/shutdown.go
+++ b/internal/core/web/shutdown.go
@@ -10,24 +10,24 @@
 	"github.com/pkg/errors"
 )
 
-// connState is where a connection stands, and since when.
+// connState is the state of a connection and the time since which it has been in that state.
 type connState struct {
 	state http.ConnState
 	since time.Time
-	// ending: it ends unless a request has been read on it.
+	// closing: the connection is closed unless a request has been read on it.
 	closing bool
 }
 
 const (
-	// firstRequest is how long after the opening of a connection its first request is waited for once listening has
-	// stopped: callers open one when they have something to send, and are 3 ms away.
+	// firstRequestTimeout is how long after its opening a new connection may wait for its first request once the server has stopped
+	// listening. Callers open a connection when they have a request to send, and are 3 ms away.
 	firstRequestTimeout = 300 * time.Millisecond
-	// quietPoll is how often Shutdown looks whether requests are in progress.
+	// shutdownPoll is how often Shutdown checks whether requests are in progress.
 	shutdownPoll = 5 * time.Millisecond
 )
 
-// track notes the state of a connection. A request that begins on one that was to end is read and answered all the same.
-func (s *Server) track(c net.Conn, state http.ConnState) {
+// trackState records the state of a connection. If a request begins on a connection that was to close, it is still read and answered.
+func (s *Server) trackState(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -40,55 +40,55 @@
 	s.conns[c] = connState{state: state, since: time.Now()}
 }
 
-// readUntil bounds the reading of a connection.
+// setReadDeadline ends reads on a connection at time t.
 func (s *Server) setReadDeadline(c net.Conn, t time.Time) {
-	c.SetReadDeadline(t) //nolint:errcheck // it has been closed meanwhile
+	c.SetReadDeadline(t) //nolint:errcheck // fails only if the connection is already closed
 }
 
-// Leave lets each answer from now on ask its caller to close the connection: its next request goes elsewhere.
+// Leave makes each answer from now on ask its caller to close the connection, so that the caller's next request goes to another server.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// closing adds that wish to the answers of a handler.
+// closeAfterLeave wraps a handler so that its answers ask callers to close the connection once the server leaves.
 func (s *Server) closeAfterLeave(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.ServeHTTP(&responseWriter{ResponseWriter: w, leaving: &s.leaving}, r)
 	})
 }
 
-// answer is an answer that is written while the server may be leaving: what counts is when it begins, not when its request came.
+// responseWriter sets the Connection header when an answer begins: the server may have begun to leave after the request came.
 type responseWriter struct {
 	http.ResponseWriter
 	leaving *atomic.Bool
 	begun   bool
 }
 
-// begin sets the header while that has an effect.
-func (a *responseWriter) beginResponse() {
-	if !a.begun && a.leaving.Load() {
-		a.Header().Set("Connection", "close")
+// beginResponse sets the header before the status is written; later it would have no effect.
+func (w *responseWriter) beginResponse() {
+	if !w.begun && w.leaving.Load() {
+		w.Header().Set("Connection", "close")
 	}
-	a.begun = true
+	w.begun = true
 }
 
-// WriteHeader begins the answer.
-func (a *responseWriter) WriteHeader(status int) {
-	a.beginResponse()
-	a.ResponseWriter.WriteHeader(status)
+// WriteHeader writes the status and the headers.
+func (w *responseWriter) WriteHeader(status int) {
+	w.beginResponse()
+	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write begins the answer if that has not been done, and writes its body.
-func (a *responseWriter) Write(p []byte) (int, error) {
-	a.beginResponse()
-	return a.ResponseWriter.Write(p)
+// Write writes a part of the body, after the status and the headers.
+func (w *responseWriter) Write(p []byte) (int, error) {
+	w.beginResponse()
+	return w.ResponseWriter.Write(p)
 }
 
-// Shutdown stops listening, and returns when the requests in progress are answered, or when ctx ends; the error then says how
-// many are not. Requests on connections that are open are still served: the library's own shutting down drops a request
-// that it reads after it has begun, and waits five seconds for a connection on which nothing has come yet.
+// Shutdown stops listening and returns once all requests in progress are answered, or when ctx ends; the error then gives the number of
+// unanswered requests. Requests that arrive on open connections are still served. http.Server.Shutdown is not used because it drops
+// requests that it reads after it was called, and because it waits five seconds for new connections on which no data has arrived.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Leave()
-	s.ln.Close() //nolint:errcheck // it is closed only here and, without effect, by the library
-	<-s.served   // a connection that was just accepted is known now
+	s.ln.Close() //nolint:errcheck // http.Server closes it a second time, without effect
+	<-s.served   // from here on, conns has every connection that was accepted
 	ticker := time.NewTicker(shutdownPoll)
 	defer ticker.Stop()
 	for s.closeUnused(time.Now()) > 0 {
@@ -102,31 +102,31 @@
 	return nil
 }
 
-// endUnused lets the connections end on which nothing is in progress or on its way, and counts those that are left. A read
-// that has returned something by then is served: closing such a connection would drop requests that were read whole (340 of
-// 3,000 that were sent in the two milliseconds around it).
+// closeUnused closes the connections that have no request in progress or on its way, and returns the number of open connections. It ends
+// their reads by a deadline instead of closing them directly, so that a request whose read has already returned data is still served:
+// closing them directly dropped 340 of 3,000 requests that were sent within two milliseconds of it.
 func (s *Server) closeUnused(now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c, is := range s.conns {
-		unused := is.state == http.StateIdle || is.state == http.StateNew && now.Sub(is.since) >= firstRequestTimeout
-		if !unused || is.closing {
+	for c, cs := range s.conns {
+		unused := cs.state == http.StateIdle || cs.state == http.StateNew && now.Sub(cs.since) >= firstRequestTimeout
+		if !unused || cs.closing {
 			continue
 		}
-		is.closing = true
-		s.conns[c] = is
+		cs.closing = true
+		s.conns[c] = cs
 		s.setReadDeadline(c, now)
 	}
 	return len(s.conns)
 }
 
-// cut ends with requests in progress, and says how many.
+// inProgressError returns an error with the number of requests in progress, or nil if there are none.
 func (s *Server) inProgressError(why error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, is := range s.conns {
-		if is.state == http.StateActive {
+	for _, cs := range s.conns {
+		if cs.state == http.StateActive {
 			n++
 		}
 	}
--- a/internal/core/web/shutdown_test.go
+++ b/internal/core/web/shutdown_test.go
@@ -16,11 +16,11 @@
 	"hillreel/internal/standin/loopback"
 )
 
-// serve starts a server that answers each request after a while.
+// serve starts a server that answers each request after the time takes.
 func serve(t *testing.T, takes time.Duration) *web.Server {
 	s := web.New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(takes)
-		io.WriteString(w, "ok") //nolint:errcheck // the test notices
+		io.WriteString(w, "ok") //nolint:errcheck // the client would fail
 	}), web.Internal)
 	qt.Assert(t, s.Start(context.Background()), qt.IsNil)
 	t.Cleanup(s.Stop)
@@ -33,16 +33,16 @@
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// TestShutdown: a request that is read is answered, whenever its connection was opened; a connection on which nothing comes
-// holds nothing up; and what still runs when the time is over is counted.
+// TestShutdown checks that every request that was read is answered, whenever its connection was opened, that an unused connection does not
+// delay Shutdown, and that requests still in progress at the end are counted.
 func TestShutdown(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		takes time.Duration
-		// before and after are when a request is sent on the connection: before Shutdown, and so long after it began.
+		// before: a request is sent before Shutdown. after: a request is sent that long after Shutdown began; zero is none.
 		before bool
 		after  time.Duration
-		// least and most bound how long Shutdown takes; inProgress is what it says is left.
+		// least and most bound how long Shutdown takes; inProgress is the number of unanswered requests in its error.
 		least, most time.Duration
 		inProgress  string
 	}{
@@ -61,7 +61,7 @@
 			if test.before {
 				request(t, conn)
 			}
-			time.Sleep(50 * time.Millisecond) // it is accepted
+			time.Sleep(50 * time.Millisecond) // until the server has accepted the connection
 			began := time.Now()
 			done := make(chan error, 1)
 			go func() {
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestLeave: once a server leaves, each answer asks its caller to use another connection.
+// TestLeave checks that, once a server leaves, each answer asks the caller to close the connection.
 func TestLeave(t *testing.T) {
 	s := serve(t, 0)
 	for _, leaving := range []bool{false, true} {
--- a/internal/core/web/web.go
+++ b/internal/core/web/web.go
@@ -20,25 +20,25 @@
 
 // Options bound what clients may do.
 type Options struct {
-	// HeaderTimeout and ReadTimeout bound the reading of headers and of a whole request, IdleTimeout the pause
-	// between two requests.
+	// HeaderTimeout bounds the reading of a request's headers, ReadTimeout that of a whole request, and IdleTimeout the pause between
+	// two requests.
 	HeaderTimeout, ReadTimeout, IdleTimeout time.Duration
-	// MaxHeader bounds headers, in bytes.
+	// MaxHeader is the largest size of the headers in bytes.
 	MaxHeader int
-	// MaxConnections bounds open connections; more wait unaccepted. Zero is no bound.
+	// MaxConnections bounds the open connections; further ones wait until they are accepted. Zero means no bound.
 	MaxConnections int
-	// Silence is how long a client may say nothing, not even acknowledge what it was sent: a silent connection would otherwise
-	// count until IdleTimeout, and while a request of it is served for good.
+	// KeepAlive is how long a client may stay silent, without even acknowledging what it was sent. Otherwise a silent connection would
+	// count towards MaxConnections until IdleTimeout, and forever while a request of it is being served.
 	KeepAlive keepalive.Timeout
 }
 
-// Small suits servers that only other processes of the platform or an operator call.
+// Internal is for servers that only other processes of the platform or an operator call.
 var Internal = Options{
 	HeaderTimeout: 3 * time.Second, ReadTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second, MaxHeader: 16 << 10,
 	MaxConnections: 64, KeepAlive: keepalive.Short,
 }
 
-// Operators suits servers for people and their tools, which may stop reading for a while in the middle of a long answer.
+// Operators is for servers used by people and their tools, which may stop reading for a while in the middle of a long answer.
 var Operators = withLongKeepAlive(Internal)
 
 func withLongKeepAlive(o Options) Options {
@@ -55,25 +55,25 @@
 	ln      net.Listener
 	once    sync.Once
 	leaving atomic.Bool
-	// served is closed when no connection is accepted any more.
+	// served is closed once no more connections are accepted.
 	served chan struct{}
 
 	mu sync.Mutex
-	// conns are the open connections.
+	// conns holds the open connections.
 	conns map[net.Conn]connState
 }
 
-// New returns a Server that has not started; name stands in errors.
+// New returns a Server that is not started yet; name appears in errors.
 func New(name string, address settings.Address, h http.Handler, o Options) *Server {
 	s := &Server{name: name, address: address, options: o, served: make(chan struct{}), conns: make(map[net.Conn]connState)}
 	s.server = &http.Server{
 		Handler: s.closeAfterLeave(h), ReadHeaderTimeout: o.HeaderTimeout, ReadTimeout: o.ReadTimeout, IdleTimeout: o.IdleTimeout,
-		MaxHeaderBytes: o.MaxHeader, ConnState: s.track,
+		MaxHeaderBytes: o.MaxHeader, ConnState: s.trackState,
 	}
 	return s
 }
 
-// Start listens.
+// Start starts listening and serving.
 func (s *Server) Start(ctx context.Context) error {
 	ln, err := s.options.KeepAlive.Listener().Listen(ctx, "tcp", string(s.address))
 	if err != nil {
@@ -86,35 +86,35 @@
 	return nil
 }
 
-// serve accepts connections until Stop or Shutdown.
+// serve accepts connections in the background until Stop or Shutdown.
 func (s *Server) serve(ln net.Listener) {
 	s.ln = ln
 	go func() {
 		defer close(s.served)
-		s.server.Serve(ln) //nolint:errcheck // it ends with Stop or Shutdown
+		s.server.Serve(ln) //nolint:errcheck // it returns only after Stop or Shutdown
 	}()
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.ln.Addr().String() }
 
-// Stop ends at once.
+// Stop closes the listener and all connections at once.
 func (s *Server) Stop() {
-	s.once.Do(func() { s.server.Close() }) //nolint:errcheck // nothing is left to do about it
+	s.once.Do(func() { s.server.Close() }) //nolint:errcheck // the server ends in any case
 }
 
-// Readiness serves checks of whether a process wants connections.
+// Readiness returns a handler for readiness checks. It answers with status 503 unless ready, and with the reason.
 func Readiness(ready func() (bool, string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		ok, why := ready()
 		if !ok {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
-		io.WriteString(w, why+"\n") //nolint:errcheck // the caller has gone
+		io.WriteString(w, why+"\n") //nolint:errcheck // fails only if the caller has gone
 	}
 }
 
-// WriteJSON answers with a status and a body; an error says that the caller has gone.
+// WriteJSON answers with a status and a JSON body. It returns an error if the caller has gone.
 func WriteJSON(w http.ResponseWriter, status int, body any) error {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/core/web/web_test.go
+++ b/internal/core/web/web_test.go
@@ -16,10 +16,10 @@
 	"hillreel/internal/standin/silence"
 )
 
-// TestSilentConnections: connections that have fallen silent, as many as a server takes, keep a later one out for three seconds
-// at the most.
+// TestSilentConnections guards against silent connections that keep new callers out: as many as the server accepts fall silent, and the
+// next caller must be served within three seconds.
 func TestSilentConnections(t *testing.T) {
-	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }) //nolint:errcheck // see the client
+	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }) //nolint:errcheck // the client would fail
 	s := web.New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), ok, web.Internal)
 	qt.Assert(t, s.Start(context.Background()), qt.IsNil)
 	defer s.Stop()
