--- a/internal/core/settings/settings.go
+++ b/internal/core/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads INI files into typed settings and refuses what it does not understand, with the
-// file, section, key and reason. hillreel.ini documents every option beside its default; a test keeps the
-// two the same.
+// Package settings reads INI files into typed settings. It refuses whatever it does not understand, with the file, section, key and reason.
+// hillreel.ini documents every option with its default; a test compares that file with the struct tags here.
 package settings
 
 import (
@@ -15,34 +14,34 @@
 	"gopkg.in/ini.v1"
 )
 
-// Secret is a value that never appears in a log or an error.
+// Secret is a value that must not appear in logs or errors.
 type Secret string
 
-// String hides the value.
+// String returns a placeholder instead of the value.
 func (s Secret) String() string { return "(secret)" }
 
-// GoString hides the value.
+// GoString returns a placeholder instead of the value.
 func (s Secret) GoString() string { return "(secret)" }
 
-// Secrets is a list of values that never appear in a log or an error.
+// Secrets is a list of values that must not appear in logs or errors.
 type Secrets []Secret
 
-// Bytes is a size, written as a number with an optional unit kb or mb.
+// Bytes is a size in bytes. In the file it may have the unit kb or mb.
 type Bytes int64
 
-// Address is an IP number with a port.
+// Address is an IP address with a port.
 type Address string
 
-// Error is a refusal of one option.
+// Error reports why one option was refused.
 type Error struct{ File, Section, Key, Reason string }
 
-// Error names file, section, key and reason.
+// Error returns the file, section, key and reason.
 func (e *Error) Error() string {
 	return "settings: " + e.File + ": [" + e.Section + "] " + e.Key + ": " + e.Reason
 }
 
-// Load reads file over the defaults. An empty name gives the defaults alone. Every problem found is
-// reported, one error after the other.
+// Load reads file and uses the defaults for all options that it leaves out. An empty name returns the defaults. The error lists all
+// problems found, one per line.
 func Load(file string) (*Settings, error) {
 	s := &Settings{}
 	l := &loader{file: file}
@@ -60,7 +59,7 @@
 	return s, l.err()
 }
 
-// Parse reads the text of a settings file over the defaults; name stands in errors.
+// Parse does the same as Load for the text of a settings file; name stands for the file in errors.
 func Parse(name, text string) (*Settings, error) {
 	s := &Settings{}
 	l := &loader{file: name}
@@ -72,7 +71,7 @@
 	return s, l.err()
 }
 
-// Set changes one option, as if the file had it.
+// Set parses text into one option, as if it stood in the file.
 func (s *Settings) Set(section, key, text string) error {
 	for _, o := range options(s) {
 		if o.section != section || o.key != key {
@@ -163,13 +162,13 @@
 	}
 }
 
-// option is one field of Settings.
+// option is one field of a section of Settings, with its tags.
 type option struct {
 	section, key, def, doc, min, max string
 	value                            reflect.Value
 }
 
-// options lists all fields in the order of the file.
+// options returns all options in the order of the file.
 func options(s *Settings) []option {
 	var out []option
 	top := reflect.ValueOf(s).Elem()
@@ -187,7 +186,7 @@
 	return out
 }
 
-// set parses text into a field and returns the reason when it can't. A secret's text is never repeated.
+// parseInto parses text into a field. It returns the reason if text is not valid, or "". A Secret's text never appears in the reason.
 func parseInto(v reflect.Value, text string) string {
 	text = strings.TrimSpace(text)
 	switch v.Interface().(type) {
@@ -240,7 +239,7 @@
 	return ""
 }
 
-// tokenParts is name, role and token.
+// tokenParts is the number of parts of name/role/token.
 const tokenParts = 3
 
 func splitToken(text string) []string { return strings.SplitN(text, "/", tokenParts) }
@@ -261,7 +260,7 @@
 	}
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || net.ParseIP(host) == nil {
-		return "want an IP number with a port, such as 10.0.0.7:7400, not " + strconv.Quote(text)
+		return "want an IP address with a port, such as 10.0.0.7:7400, not " + strconv.Quote(text)
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
 		return "want a port from 0 to 65535, not " + strconv.Quote(port)
@@ -285,7 +284,7 @@
 	return n * factor, err
 }
 
-// outOfRange compares the value with the bounds in its tags.
+// checkRange compares the value with the bounds in its tags and returns the reason if it is outside, or "".
 func (o option) checkRange() string {
 	limit := reflect.New(o.value.Type()).Elem()
 	if o.min != "" && parseInto(limit, o.min) == "" && o.value.Int() < limit.Int() {
@@ -297,11 +296,11 @@
 	return ""
 }
 
-// Document prints every option with its description and default, as hillreel.ini has it.
+// Document returns the text of hillreel.ini: every option with its description and default.
 func Document() string {
 	var b strings.Builder
 	b.WriteString("# Every option of hillreel, beside its default. An option that is left out has that default.\n")
-	b.WriteString("# Durations carry a unit (250ms, 10s), sizes may (64kb, 8mb), addresses are IP numbers with a port.\n")
+	b.WriteString("# Durations carry a unit (250ms, 10s), sizes may (64kb, 8mb), addresses are IP addresses with a port.\n")
 	section := ""
 	for _, o := range options(&Settings{}) {
 		if o.section != section {
