--- a/internal/agent/call/call.go
+++ b/internal/agent/call/call.go
@@ -1,5 +1,5 @@
-// Package call has the calls that an agent makes to the upstream beside it, and their answers, in hillreel's own words;
-// package platform speaks them over the wire.
+// Package call defines the calls that an agent makes to the upstream next to it, and their answers. Package platform encodes them for the
+// wire.
 package call
 
 import (
@@ -9,24 +9,24 @@
 	"hillreel/internal/core/job"
 )
 
-// Clock is a reading of the upstream's steady clock, as a time since it started.
+// Clock is a reading of the upstream's monotonic clock, as the time since the upstream started.
 type Clock time.Duration
 
-// Token is a fencing token: the upstream does nothing for one lower than the highest that it has seen.
+// Token is a fencing token: an upstream refuses every call with a token lower than the highest that it has seen.
 type Token uint64
 
-// Header is what every call to an upstream carries.
+// Header is the part that all calls to an upstream share.
 type Header struct {
-	// Instance is the upstream that is meant: another one refuses the call. Born tells the agent which of its lives; the wire
-	// doesn't carry it, so that the next life under the same id takes the call for its own.
+	// Instance is the ID of the upstream that the call is for; an upstream with another ID refuses the call. Born tells the agent which
+	// life of the upstream the call is for. It is not sent, so a later life with the same ID accepts the call.
 	Instance ident.UpstreamID
 	Born     ident.Born
 	Token    Token
-	// Sent is when the call was made.
+	// Sent is the time of the call.
 	Sent time.Time
 }
 
-// Life is the life that is meant.
+// Life returns the life of the upstream that the call is for.
 func (h Header) Life() ident.UpstreamLife { return ident.UpstreamLife{ID: h.Instance, Born: h.Born} }
 
 // Start starts one run.
@@ -36,65 +36,65 @@
 	Run        job.Run
 	Spec       string
 	Checkpoint string
-	// Until is the lease that the start extends to.
+	// LeaseUntil is the time to which the start extends the lease.
 	LeaseUntil Clock
 }
 
-// Stop stops one run, or makes sure that it never starts.
+// Stop stops one run, or ensures that it never starts.
 type Stop struct {
 	Header
 	Task job.TaskID
 	Run  job.Run
 }
 
-// Hold extends the lease and asks what runs and what has ended.
+// Hold extends the lease, and asks which runs are active and which have ended.
 type Hold struct {
 	Header
-	// Until is the lease; zero leaves it as it is.
+	// LeaseUntil is the time to which the call extends the lease; zero leaves the lease unchanged.
 	LeaseUntil Clock
-	// Seen acknowledges ends up to this number.
+	// Seen acknowledges all ends up to this number.
 	Seen uint64
-	// Wait is how long the upstream may hold the answer back until a run ends.
+	// Wait is how long the upstream may delay the answer until a run ends.
 	Wait time.Duration
-	// Look: the call waits shortly or not at all, and another that does may be under way.
+	// Poll: the call waits only briefly or not at all, and a call that waits longer may be under way at the same time.
 	Poll bool
 }
 
-// Answer says what a call brought.
+// Answer is the result of a call.
 type Answer string
 
 // The answers.
 const (
-	// OK: done.
+	// OK: the upstream has carried out the call.
 	OK Answer = "ok"
 	// Fenced: the token is too low.
 	Fenced Answer = "fenced"
-	// Used: the upstream knows this run, or a higher one, as ended.
+	// Used: the upstream knows that this run, or a later run of the task, has ended.
 	Used Answer = "used"
-	// Full: the upstream guards its own room and has none.
+	// Full: the upstream checks its own room and has none.
 	Full Answer = "full"
-	// Declined: the upstream did nothing, for another reason that it has told.
+	// Declined: the upstream did nothing, for another reason that it gave.
 	Declined Answer = "declined"
 	// WrongInstance: another life of the upstream answered.
 	WrongInstance Answer = "wrong_instance"
-	// Unanswered: nothing is known.
+	// Unanswered: there was no answer, so it is unknown whether the call was carried out.
 	Unanswered Answer = "unanswered"
-	// Unclear: the upstream has answered, but not with what it has done, as by a server's error.
+	// Unclear: the upstream answered, but the answer does not say what it did; an example is a server error.
 	Unclear Answer = "unclear"
 )
 
-// Listed is a run that the upstream lists as running.
+// Running is an active run, as the upstream lists it.
 type Running struct {
 	Task       job.TaskID
 	Run        job.Run
 	Checkpoint string
-	// Percent of its work that is done.
+	// Percent is how much of the run's work is done.
 	Percent int
 }
 
-// Finished is an end that the upstream lists.
+// Finished is a run that has ended, as the upstream lists it.
 type Finished struct {
-	// N rises from 1 in each life of the upstream.
+	// Number numbers the ends of one life of the upstream, starting at 1.
 	Number     uint64
 	Task       job.TaskID
 	Run        job.Run
@@ -102,10 +102,10 @@
 	Checkpoint string
 }
 
-// How says how a run ended at the upstream.
+// Result is how a run ended on the upstream.
 type Result string
 
-// The ends that occur.
+// The results.
 const (
 	ResultDone    Result = "done"
 	ResultFailed  Result = "failed"
@@ -113,11 +113,11 @@
 	ResultLapsed  Result = "lapsed"
 )
 
-// Held is the result of a Hold.
+// HoldResult is the answer to a Hold.
 type HoldResult struct {
 	Answer Answer
 	Clock  Clock
-	// Born is when the life began that has answered; zero is not told.
+	// Born is when the life that answered began; zero is unknown.
 	Born     ident.Born
 	Running  []Running
 	Finished []Finished
