--- a/internal/agent/snapshot/memory_test.go
+++ b/internal/agent/snapshot/snapshot_test.go
@@ -17,10 +17,10 @@
 	standin "hillreel/internal/standin/memory"
 )
 
-// store is a store some of whose writes get no answer and are carried out later.
+// store is a store in which a write may get no answer and be carried out later.
 type store struct {
 	standin.Store
-	// loses: the next write gets no answer; held are those that wait to be carried out.
+	// loses: the next write gets no answer. held are the writes that are still to be carried out.
 	loses bool
 	held  []rows.Txn
 }
@@ -45,7 +45,7 @@
 	return lives.Snapshot{Upstream: fleet.Upstream{ID: "u-1", Service: "s", Total: job.Resources{CPU: cpu}}}
 }
 
-// TestLateWrite: a write that got no answer and is carried out after a newer one changes nothing.
+// TestLateWrite checks that a write without an answer changes nothing if it is carried out after a newer write.
 func TestLateWrite(t *testing.T) {
 	ctx := context.Background()
 	s := &store{Store: standin.New()}
@@ -63,8 +63,8 @@
 	qt.Assert(t, u, qt.DeepEquals, known(1))
 }
 
-// TestWrittenMeanwhile: what another life of the agent has written late is replaced all the same.
-func TestWrittenMeanwhile(t *testing.T) {
+// TestLateWriteOfEarlierIncarnation checks that a late write of an earlier incarnation of the agent is overwritten.
+func TestLateWriteOfEarlierIncarnation(t *testing.T) {
 	ctx := context.Background()
 	s := &store{Store: standin.New()}
 	m, former := snapshot.New(s, "vm"), snapshot.New(s, "vm")
@@ -79,7 +79,7 @@
 	qt.Assert(t, u, qt.DeepEquals, known(1))
 }
 
-// TestCrashesAreRemembered: an agent's next life knows of the crashes under suspected tasks that its former one knew of.
+// TestCrashesAreRemembered checks that an agent that restarts loads the crashes that its earlier incarnation knew of.
 func TestCrashesAreRemembered(t *testing.T) {
 	ctx := context.Background()
 	s := &store{Store: standin.New()}
