--- a/internal/agent/owners/owners.go
+++ b/internal/agent/owners/owners.go
@@ -1,5 +1,5 @@
-// Package owners answers which entries hold jobs that need not be kept, and which may not order their tasks any more, since another entry has taken the
-// job over. It must not be asked about kept jobs, whose owners the store tells.
+// Package owners tracks which entries hold jobs that are not kept, and which entries may no longer order tasks of such a job because another
+// entry has taken it over. It must not be used for kept jobs: the store records their owners.
 package owners
 
 import (
@@ -13,64 +13,64 @@
 	"hillreel/internal/core/job"
 )
 
-// Remember is for how long a takeover is known: an entry that has not heard of it within that time has given its callers up. What entries hold is
-// known as long: they tell it again sooner.
+// Retention is how long a takeover is recorded: an entry that has not heard of the takeover within that time has given up its callers. The
+// jobs that an entry holds are recorded for the same time, and the entry reports them again before it is over.
 const Retention = 10 * time.Second
 
-// claim is an entry's on a job.
+// claim is the claim of an entry to a job.
 type claim struct {
 	job   job.ID
 	entry ident.Incarnation
 }
 
-// Account is what is known of the owners of jobs.
+// Registry records the claims to jobs that one agent knows of.
 type Registry struct {
-	// held is until when an entry counts as one that holds a job, lost until when its orders of the job are refused.
+	// held is until when an entry counts as a holder of a job; refused is until when an entry's orders for a job are refused.
 	held, refused map[claim]time.Time
 }
 
-// New returns an Account that knows of none.
+// New returns an empty Registry.
 func New() *Registry { return &Registry{make(map[claim]time.Time), make(map[claim]time.Time)} }
 
-// Holds notes that an entry holds jobs.
-func (a *Registry) RecordHeld(now time.Time, entry ident.Incarnation, jobs []job.ID) {
+// RecordHeld records that an entry holds jobs.
+func (r *Registry) RecordHeld(now time.Time, entry ident.Incarnation, jobs []job.ID) {
 	for _, id := range jobs {
-		a.held[claim{id, entry}] = now.Add(Retention)
+		r.held[claim{id, entry}] = now.Add(Retention)
 	}
 }
 
-// Asked notes that an entry takes a job over: it may order its tasks, and the former holder holds it no more.
-func (a *Registry) RecordTakeover(t fleet.Takeover) {
-	delete(a.held, claim{t.Job, t.Holder})
-	delete(a.refused, claim{t.Job, t.NewHolder})
+// RecordTakeover records that an entry takes over a job: the entry may order the job's tasks, and the former holder no longer holds it.
+func (r *Registry) RecordTakeover(t fleet.Takeover) {
+	delete(r.held, claim{t.Job, t.Holder})
+	delete(r.refused, claim{t.Job, t.NewHolder})
 }
 
-// Refuse notes that orders of a job by its former holder are refused from now on.
-func (a *Registry) Refuse(now time.Time, t fleet.Takeover) {
-	a.refused[claim{t.Job, t.Holder}] = now.Add(Retention)
+// Refuse records that orders for a job by its former holder are refused from now on.
+func (r *Registry) Refuse(now time.Time, t fleet.Takeover) {
+	r.refused[claim{t.Job, t.Holder}] = now.Add(Retention)
 }
 
-// Refuses tells whether an entry's orders of a job are refused.
-func (a *Registry) IsRefused(now time.Time, id job.ID, entry ident.Incarnation) bool {
-	return now.Before(a.refused[claim{id, entry}])
+// IsRefused reports whether orders for a job by an entry are refused.
+func (r *Registry) IsRefused(now time.Time, id job.ID, entry ident.Incarnation) bool {
+	return now.Before(r.refused[claim{id, entry}])
 }
 
-// Held are the jobs that an entry holds.
+// Holding lists the jobs that an entry holds.
 type Holding struct {
 	Entry ident.Incarnation
 	Jobs  []job.ID
 }
 
-// Others lists what entries but one hold, in an order that repeats.
-func (a *Registry) HeldByOthers(now time.Time, but ident.Incarnation) []Holding {
-	by := make(map[ident.Incarnation][]job.ID)
-	for c, until := range a.held {
-		if c.entry != but && now.Before(until) {
-			by[c.entry] = append(by[c.entry], c.job)
+// HeldByOthers returns the jobs held by each entry other than except, in a deterministic order.
+func (r *Registry) HeldByOthers(now time.Time, except ident.Incarnation) []Holding {
+	jobsOf := make(map[ident.Incarnation][]job.ID)
+	for c, until := range r.held {
+		if c.entry != except && now.Before(until) {
+			jobsOf[c.entry] = append(jobsOf[c.entry], c.job)
 		}
 	}
-	out := make([]Holding, 0, len(by))
-	for entry, jobs := range by {
+	out := make([]Holding, 0, len(jobsOf))
+	for entry, jobs := range jobsOf {
 		slices.Sort(jobs)
 		out = append(out, Holding{entry, jobs})
 	}
@@ -78,9 +78,9 @@
 	return out
 }
 
-// Forget forgets what is over.
-func (a *Registry) Expire(now time.Time) {
-	over := func(_ claim, until time.Time) bool { return !now.Before(until) }
-	maps.DeleteFunc(a.held, over)
-	maps.DeleteFunc(a.refused, over)
+// Expire removes the records that are no longer valid.
+func (r *Registry) Expire(now time.Time) {
+	expired := func(_ claim, until time.Time) bool { return !now.Before(until) }
+	maps.DeleteFunc(r.held, expired)
+	maps.DeleteFunc(r.refused, expired)
 }
