--- a/internal/agent/peers/peers.go
+++ b/internal/agent/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers chooses the entries that an agent links to. With few entries these are all; with many, each agent links to
-// some of them, so that neither messages of room nor keep-alives grow with the product of entries and agents.
+// Package peers chooses the entries that an agent links to. If there are few entries, the agent links to all of them; if there are many, to
+// a subset, so that the number of room messages and keep-alives does not grow with the product of entries and agents.
 package peers
 
 import (
@@ -8,18 +8,18 @@
 	"slices"
 )
 
-// Candidate is an entry that an agent could link to.
+// Candidate is an entry to which an agent could link.
 type Candidate struct {
 	Address string
-	// Wanted: the entry has asked for agents of this one's service, of which it is linked to few.
+	// Wanted: the entry has asked for agents of this service, because it is linked to few of them.
 	Wanted bool
-	// Failing: the entry could not be reached for a while.
+	// Failing: the entry has been unreachable for a while.
 	Failing bool
 }
 
-// Choose returns the addresses that an agent dials: those that have asked for it, and of the others so many, in an order of
-// its own, that most of them can be reached. Entries are spread over agents by the hash of both names (rendezvous hashing),
-// so that an entry that comes or goes changes few choices.
+// Choose returns the addresses that an agent dials: all entries that have asked for it, and further ones until most entries that are not
+// failing are chosen. Entries are ranked for each agent by a hash of both names (rendezvous hashing), so that an entry that joins or
+// leaves changes few choices.
 func Choose(agent string, most int, all []Candidate) map[string]bool {
 	ranked := slices.Clone(all)
 	slices.SortFunc(ranked, func(a, b Candidate) int {
@@ -39,11 +39,11 @@
 	return chosen
 }
 
-// weight ranks an entry for an agent.
+// weight returns the rank of an entry for an agent; higher comes first.
 func weight(agent, address string) uint64 {
 	h := fnv.New64a()
-	h.Write([]byte(agent + " " + address)) //nolint:errcheck // a hash takes everything
-	// The last bytes of similar names barely reach the upper bits of this hash.
+	h.Write([]byte(agent + " " + address)) //nolint:errcheck // a hash never returns an error
+	// FNV hardly mixes the last bytes of similar names into the upper bits, so they are mixed in here.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/agent/peers/peers_test.go
+++ b/internal/agent/peers/peers_test.go
@@ -17,14 +17,14 @@
 	return out
 }
 
-// TestFewEntriesAreAllChosen: up to the bound every entry is linked.
+// TestFewEntriesAreAllChosen checks that an agent links to all entries if there are no more than the bound.
 func TestFewEntriesAreAllChosen(t *testing.T) {
 	for _, n := range []int{0, 1, 12} {
 		qt.Assert(t, peers.Choose("agent", 12, entries(n)), qt.HasLen, n)
 	}
 }
 
-// TestManyEntriesAreSpread: each agent links to so many, and each entry is linked by about as many agents.
+// TestManyEntriesAreSpread checks that each agent links to as many entries as the bound allows, and each entry to a similar number of agents.
 func TestManyEntriesAreSpread(t *testing.T) {
 	count := make(map[string]int)
 	for a := range 900 {
@@ -40,8 +40,8 @@
 	qt.Assert(t, count, qt.HasLen, 100)
 }
 
-// TestFailingEntriesAreReplaced: one that can't be reached stays chosen, and another is chosen besides; those that have
-// asked are always chosen; and when an entry goes, the other choices stay.
+// TestFailingEntriesAreReplaced checks that a failing entry stays chosen and another is chosen in addition, that the other choices do not
+// change, and that all entries that have asked for the agent are chosen.
 func TestFailingEntriesAreReplaced(t *testing.T) {
 	all := entries(40)
 	before := peers.Choose("agent", 12, all)
--- a/internal/agent/process/process.go
+++ b/internal/agent/process/process.go
@@ -1,4 +1,4 @@
-// Package process puts an agent's services together.
+// Package process builds and runs the services of an agent.
 package process
 
 import (
@@ -25,7 +25,7 @@
 	"hillreel/internal/link/session"
 )
 
-// Names under which the services register.
+// The names under which the services are registered.
 const (
 	nameNode       = "agent"
 	nameHeartbeats = "heartbeats"
@@ -41,14 +41,14 @@
 	snapshot.Rows
 }
 
-// Deps are what an agent gets from outside.
+// Deps are the dependencies of an agent.
 type Deps struct {
 	Store    Store
 	Upstream node.Upstream
-	// Beats makes the handler of the upstream's heartbeats.
+	// Heartbeats returns the handler of the upstream's heartbeats.
 	Heartbeats func(n *node.Node) http.Handler
 	Dial       session.Dialer
-	// Cordons is the table of the platform's store in which its operators cordon zones.
+	// Cordons is the table of the platform's store in which the platform's operators cordon availability zones.
 	Cordons cordon.Table
 	Log     *logrus.Entry
 }
@@ -62,7 +62,7 @@
 	bus      *bus.Bus
 }
 
-// New builds an agent's services.
+// New builds the services of an agent. It returns an error if the settings name no upstream.
 func New(set *settings.Settings, d Deps) (*Process, error) {
 	if set.Agent.Upstream == "" {
 		return nil, errors.New("settings: [agent] upstream: must be set")
@@ -95,7 +95,7 @@
 	return p, bus.Subscribe(context.Background(), p.bus, bus.Entries, p.Node.SetEntries)
 }
 
-// follow returns a follower of a table that holds cordons.
+// followCordons returns a Follower of a table of cordons.
 func (p *Process) followCordons(d Deps, t cordon.Table) *follow.Follower {
 	r := cordon.NewReader(t, p.Node.SetCordons, d.Log)
 	return follow.New(d.Store, t.Name, follow.SinglePart, p.settings.Platform.ListWait, r.ApplyChanges, d.Log).With(follow.Options{
@@ -103,16 +103,17 @@
 	})
 }
 
-// Entries tell their agents what changes in the store's tables that agents need. An agent reads these itself only while it hears too few
-// entries that do: otherwise each change would be read by all processes of a region, and a configuration by many that have no use for it.
+// Entries tell their agents about changes in the store's tables that agents need. An agent reads these tables itself only while it hears
+// too few entries that do so. Otherwise all processes of a region would read each change, and many would read configurations that they
+// don't use.
 const (
-	// entriesGrace and cordonsGrace are how long an agent that starts waits for links to entries before it reads. Without the list
-	// of entries it may find none, so it waits for that less.
+	// entriesGrace and cordonsGrace are how long an agent that starts waits for links to entries before it reads the tables itself.
+	// entriesGrace is shorter, because without the list of entries the agent may find no entry at all.
 	entriesGrace = 300 * time.Millisecond
 	cordonsGrace = time.Second
 )
 
-// told tells whether entries tell the agent what is in the store, or soon may, after a start.
+// relayedByEntries returns a function that reports whether entries relay the store's tables to the agent, or may soon do so after a start.
 func (p *Process) relayedByEntries(start time.Time, grace time.Duration) func() bool {
 	return func() bool { return p.Node.FollowingEntries() >= node.MinFollowingEntries || time.Since(start) < grace }
 }
@@ -120,7 +121,7 @@
 // Start starts all services in order.
 func (p *Process) Start(ctx context.Context) error { return p.kernel.Start(ctx) }
 
-// Stop ends at once. What runs at the upstream is killed when its lease lapses.
+// Stop ends all services at once. Runs on the upstream are killed when their lease lapses.
 func (p *Process) Stop() {
 	p.kernel.Stop()
 	if err := p.bus.Close(); err != nil {
@@ -129,15 +130,15 @@
 }
 
 const (
-	// leaveMargin is what of the grace is left for telling the last ends and for closing.
+	// leaveMargin is the part of the grace that is reserved for sending the last ends and for stopping the services.
 	leaveMargin = 400 * time.Millisecond
-	// leavePoll is how often a leaving agent looks whether anything still runs.
+	// leavePoll is how often a leaving agent checks whether any runs remain.
 	leavePoll = 20 * time.Millisecond
-	// lastWords is how long the last ends have to get to their entries.
+	// finalSendTime is how long the last ends have to reach their entries.
 	finalSendTime = 50 * time.Millisecond
 )
 
-// Drain leaves: no new work, what runs may end, and then all stops. The grace of the settings bounds it.
+// Drain accepts no new work, waits until the active runs have ended, and stops all services. It takes at most the grace of the settings.
 func (p *Process) Drain() {
 	began := time.Now()
 	p.log.WithField("runs", p.Node.Runs()).Info("leaving")
