--- a/internal/agent/snapshot/snapshot_test.go
+++ b/internal/agent/snapshot/snapshot_test.go
@@ -41,7 +41,7 @@
 	return s.Version, nil
 }
 
-func known(cpu int64) lives.Snapshot {
+func withCPU(cpu int64) lives.Snapshot {
 	return lives.Snapshot{Upstream: fleet.Upstream{ID: "u-1", Service: "s", Total: job.Resources{CPU: cpu}}}
 }
 
@@ -50,17 +50,17 @@
 	ctx := context.Background()
 	s := &store{Store: standin.New()}
 	m := snapshot.New(s, "vm")
-	qt.Assert(t, m.Save(ctx, known(3)), qt.IsNil)
+	qt.Assert(t, m.Save(ctx, withCPU(3)), qt.IsNil)
 	s.loses = true
-	qt.Assert(t, m.Save(ctx, known(2)), qt.Equals, errNoAnswer)
-	qt.Assert(t, m.Save(ctx, known(1)), qt.IsNil)
+	qt.Assert(t, m.Save(ctx, withCPU(2)), qt.Equals, errNoAnswer)
+	qt.Assert(t, m.Save(ctx, withCPU(1)), qt.IsNil)
 	for _, late := range s.held {
 		qt.Assert(t, s.Store.Commit(late), qt.IsFalse)
 	}
 	u, found, err := snapshot.New(s, "vm").Load(ctx)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, found, qt.IsTrue)
-	qt.Assert(t, u, qt.DeepEquals, known(1))
+	qt.Assert(t, u, qt.DeepEquals, withCPU(1))
 }
 
 // TestLateWriteOfEarlierIncarnation checks that a late write of an earlier incarnation of the agent is overwritten.
@@ -71,19 +71,19 @@
 	_, found, err := m.Load(ctx)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, found, qt.IsFalse)
-	qt.Assert(t, former.Save(ctx, known(3)), qt.IsNil)
-	qt.Assert(t, m.Save(ctx, known(1)), qt.Equals, rows.ErrConflict)
-	qt.Assert(t, m.Save(ctx, known(1)), qt.IsNil)
+	qt.Assert(t, former.Save(ctx, withCPU(3)), qt.IsNil)
+	qt.Assert(t, m.Save(ctx, withCPU(1)), qt.Equals, rows.ErrConflict)
+	qt.Assert(t, m.Save(ctx, withCPU(1)), qt.IsNil)
 	u, _, err := m.Load(ctx)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, u, qt.DeepEquals, known(1))
+	qt.Assert(t, u, qt.DeepEquals, withCPU(1))
 }
 
 // TestCrashesAreRemembered checks that an agent that restarts loads the crashes that its earlier incarnation knew of.
 func TestCrashesAreRemembered(t *testing.T) {
 	ctx := context.Background()
 	s := &store{Store: standin.New()}
-	want := known(1)
+	want := withCPU(1)
 	life := ident.UpstreamLife{ID: "u-0", Born: 3}
 	want.Crashes = []fleet.Crash{
 		{Task: job.TaskID{Job: 7, Step: 1, Index: 2}, VM: "vm", Life: life, Loss: 9, Age: 10 * time.Millisecond, Alone: true, OnlyTask: true},
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -22,7 +22,7 @@
 	Suspect State = "suspect"
 	// Leaving: the upstream or its agent ends soon.
 	Leaving State = "leaving"
-	// Clearing: the agent does not know yet all that runs on the upstream.
+	// Clearing: the agent does not know all runs on the upstream yet.
 	Clearing State = "clearing"
 	// Unreachable: the agent gets no answer from its upstream.
 	Unreachable State = "unreachable"
@@ -49,7 +49,7 @@
 	return l == "" || slices.Contains(u.Labels, l)
 }
 
-// Room is what an upstream can take at the moment.
+// Room is the free capacity of an upstream.
 type Room struct {
 	Free job.Resources
 	// Seq is the sequence number of the newest Order of the receiver's session that Free accounts for.
@@ -190,8 +190,8 @@
 	TimerMargin = 50 * time.Millisecond
 )
 
-// SettleAfter returns the time after which no run of an entry remains on an upstream, counted from the newest reading of the agent's
-// clock that has reached the entry.
+// SettleAfter returns the time after which no run of an entry remains on an upstream, counted from when the entry last heard the agent's
+// clock.
 func (t Timing) SettleAfter() time.Duration { return t.Silence + t.StopBound() }
 
 // StopBound returns the time within which an unwanted run is gone, counted from when its agent began to stop it.
--- a/internal/core/fleet/takeover.go
+++ b/internal/core/fleet/takeover.go
@@ -12,7 +12,7 @@
 	Holder, NewHolder ident.Incarnation
 }
 
-// Released says that nothing of a job that another entry takes over remains.
+// Released says that nothing is left of a job that another entry takes over.
 type Released struct {
 	Takeover
 	// ByHolder: the holder has released the job on all upstreams. Otherwise an agent has released it on its own upstream, because the
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -25,7 +25,7 @@
 	Timeout time.Duration `json:"timeout_ns,omitempty"`
 	// Target is the fixed part of the latency objective, independent of the amount of work.
 	Target time.Duration `json:"target_ns,omitempty"`
-	// Stretch is the factor by which the job's critical path enters the latency objective.
+	// Stretch is multiplied by the estimated time of the job's critical path to give the rest of the latency objective.
 	Stretch float64 `json:"stretch,omitempty"`
 	// Priority orders the routes' jobs; jobs of priority 0 go first.
 	Priority int `json:"priority,omitempty"`
@@ -33,9 +33,10 @@
 	Attempts int `json:"attempts,omitempty"`
 }
 
-// Objective returns the response time that a job should keep. chain is the estimated time of the job's critical path.
-func (r *Route) Objective(chain time.Duration) time.Duration {
-	return time.Duration(r.Stretch*float64(chain)) + r.Target
+// Objective returns the response time that a job should keep. criticalPath is the estimated time of the job's longest chain of
+// dependent steps.
+func (r *Route) Objective(criticalPath time.Duration) time.Duration {
+	return time.Duration(r.Stretch*float64(criticalPath)) + r.Target
 }
 
 // Limits bound the requests of callers.
--- a/internal/core/rule/rule.go
+++ b/internal/core/rule/rule.go
@@ -15,7 +15,7 @@
 	RunIDs Rule = "run_ids"
 	// EchoedClock: an agent measures an entry's silence from the time at which the agent sent the clock reading that the entry echoed.
 	EchoedClock Rule = "echoed_clock"
-	// FreshSession: an agent accepts no order from an entry that it has not heard within the silence.
+	// FreshSession: an agent accepts no order from an entry that it has not heard within fleet.Timing.Silence.
 	FreshSession Rule = "fresh_session"
 	// CountSuspensions: expiry uses a clock that includes the time during which the VM was suspended.
 	CountSuspensions Rule = "count_suspensions"
--- a/internal/core/verdict/verdict.go
+++ b/internal/core/verdict/verdict.go
@@ -19,7 +19,7 @@
 // State is the state of a job, as callers read it.
 type State string
 
-// The states. Complete, Failed and Cancelled are final; the others describe the moment of the answer.
+// The states. Complete and Failed are a job's outcome; the others describe the moment of the answer.
 const (
 	// Complete: every task ran and succeeded.
 	Complete State = "complete"
--- a/internal/core/web/shutdown_test.go
+++ b/internal/core/web/shutdown_test.go
@@ -16,7 +16,7 @@
 	"hillreel/internal/standin/loopback"
 )
 
-// serve starts a server that answers each request after the time takes.
+// serve starts a server that delays each answer by takes.
 func serve(t *testing.T, takes time.Duration) *web.Server {
 	s := web.New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(takes)
