--- a/internal/agent/condition/condition.go
+++ b/internal/agent/condition/condition.go
@@ -1,35 +1,37 @@
-// Package condition decides in which state an agent says that its upstream is.
+// Package condition decides which state an agent reports for its upstream.
 //
-// It takes what the agent knows, and calls no upstream ready while a run that it does not know may be there, or a cordon that it has not heard of.
+// The state is never ready while a run that the agent doesn't know may be at the upstream, or while the agent doesn't know all cordons.
 package condition
 
 import "hillreel/internal/core/fleet"
 
-// Facts are what an agent knows of its upstream.
+// Facts holds what an agent knows of its upstream.
 type Facts struct {
-	// AgentLeaves: the agent is about to end.
+	// AgentLeaving: the agent is about to end.
 	AgentLeaving bool
-	// Draining: the upstream has said that it leaves; Ended: that it has ended.
+	// Draining: the upstream has announced that it ends soon. SaidEnded: it has sent a message that it has ended.
 	Draining, SaidEnded bool
-	// Described: a life of the upstream is known, with its room. RoomHeard: this life of the agent has heard of the room.
+	// Described: a heartbeat has described the present life of the upstream. RoomReported: this process of the agent knows the room from
+	// a heartbeat.
 	Described, RoomReported bool
 	// Listed: the upstream has listed what runs there.
 	Listed bool
-	// EarlierLease: a lease that an earlier life of the agent has extended may not be over.
+	// EarlierLease: a lease that an earlier process of the agent has extended may still be in force.
 	EarlierLease bool
-	// Silent: several calls got no answer. Overdue: one is so late that another life may have begun.
+	// Silent: several consecutive calls got no answer. AnswerOverdue: an answer is so late that another life may have begun.
 	Silent, AnswerOverdue bool
-	// UnknownRuns: runs that the agent does not know are there. StopUnconfirmed: a run that nobody wants may still go on.
+	// UnknownRuns: the upstream has runs that the agent doesn't know. StopUnconfirmed: a run that nobody wants may still go on, or an end
+	// that was made void waits for the lease to lapse.
 	UnknownRuns, StopUnconfirmed bool
-	// CordonsUnknown: the agent has not heard which zones are cordoned. Cordoned: its own is.
+	// CordonsUnknown: the agent doesn't know which zones are cordoned. Cordoned: its own zone is cordoned.
 	CordonsUnknown, Cordoned bool
-	// EndsNotStored: as many ends as the agent may hold back wait to be stored.
+	// EndsNotStored: so many ends wait to be stored that the ends of present runs might not be listed.
 	EndsNotStored bool
-	// Failing: runs there have failed one after the other.
+	// Failing: consecutive runs have failed there.
 	Failing bool
 }
 
-// Of returns the state for all entries, and what decided it.
+// Evaluate returns the state as it is for all entries, and the fact that decided it.
 func Evaluate(f Facts) (state fleet.State, why string) {
 	switch {
 	case f.AgentLeaving:
