--- a/internal/agent/health/health.go
+++ b/internal/agent/health/health.go
@@ -1,5 +1,4 @@
-// Package health judges an upstream by how its runs end and get on: whether it can be trusted with work, and how fast
-// it is.
+// Package health rates an upstream by how its runs end and progress: whether it is to be trusted with work, and how fast it is.
 package health
 
 import (
@@ -10,45 +9,46 @@
 	"hillreel/internal/core/ident"
 )
 
-// How failing and stalling upstreams are told from sound ones.
+// The parameters that distinguish failing and stalled upstreams from sound ones.
 const (
-	// badWeight is the weight of the newest end: three bad ends in a row pass suspectAbove.
+	// failureWeight is the weight of the newest end in the failure score: three consecutive failures raise the score above suspectAbove.
 	failureWeight = 0.2
 	suspectAbove  = 0.45
-	// soundBelow ends the suspicion, after three or four good probes in a row.
+	// trustBelow is the score below which an upstream is no longer suspect, after three or four consecutive good probes.
 	trustBelow = 0.25
-	// probePause follows a probe that went wrong.
+	// probePause is the pause after a probe that failed.
 	probePause = 400 * time.Millisecond
-	// probeTurn is how long an entry has to send a probe before it is another entry's turn.
+	// probeTurnLength is how long an entry may send a probe before the turn passes to another entry.
 	probeTurnLength = 100 * time.Millisecond
-	// paceMemory is how much time of runs the pace rests on. Estimates are off by 40%, so that a few runs tell little;
-	// an upstream with ten runs under way shows that it has become slow within 0.2 s.
+	// paceWindow is how much time of runs the pace is based on. Estimates are off by 40%, so that a few runs say little; an upstream with
+	// ten present runs shows within 0.2 s that it has become slow.
 	paceWindow = 3 * time.Second
-	// stallFloor and stallShare of the estimate are how long a run may show no progress. Estimates are off by
-	// 40% and upstreams by 25%, so a sound run advances at least once in a twentieth of this.
+	// A run may go without progress for stallBase plus stallShare of its estimate. Estimates are off by 40% and upstreams by 25%, so that
+	// a sound run advances at least once in a twentieth of this time.
 	stallBase  = 50 * time.Millisecond
 	stallShare = 0.25
 )
 
-// Health is what an agent believes of its upstream's soundness. The zero Health is that of a sound upstream.
+// Health rates one upstream. The zero Health is that of a sound upstream.
 type Health struct {
 	failureScore float64
 	suspect      bool
-	// probeAt is when the next probe may begin; probes counts them, to give all entries a turn.
+	// probeAt is when the next probe may begin; probes counts the probes, so that all entries get a turn.
 	probeAt time.Time
 	probes  int
-	// spent is the time of runs that the pace rests on, work what their estimates say that it should have taken.
+	// The pace is the ratio of actual, the time that recent runs took, to expected, the time that they should have taken by their
+	// estimates.
 	actual, expected float64
 }
 
-// Started notes the start of a run.
+// RecordStart records the start of a run.
 func (h *Health) RecordStart() {
 	if h.suspect {
 		h.probes++
 	}
 }
 
-// Bad notes that a run went wrong, through the upstream's fault as far as is known.
+// RecordFailure records that a run failed, by a fault of the upstream as far as is known.
 func (h *Health) RecordFailure(now time.Time) {
 	h.failureScore += failureWeight * (1 - h.failureScore)
 	h.probeAt = now.Add(probePause)
@@ -57,7 +57,7 @@
 	}
 }
 
-// Good notes that a run ended well.
+// RecordSuccess records that a run ended well.
 func (h *Health) RecordSuccess(now time.Time) {
 	h.failureScore -= failureWeight * h.failureScore
 	if h.suspect {
@@ -68,27 +68,27 @@
 	}
 }
 
-// Suspect tells whether the upstream gets nothing but probes.
+// IsSuspect reports whether the upstream gets only probes.
 func (h *Health) IsSuspect() bool { return h.suspect }
 
-// ProbeDue tells whether the next probe may begin.
+// IsProbeDue reports whether the next probe may begin.
 func (h *Health) IsProbeDue(now time.Time) bool { return !now.Before(h.probeAt) }
 
-// Prober returns which of the entries may send the next probe; entries must not be empty. One that has nothing to send
-// loses its turn after a while.
+// SelectProber returns the entry that may send the next probe; entries must not be empty. An entry that sends nothing loses its turn
+// after a while.
 func (h *Health) SelectProber(now time.Time, entries []ident.Incarnation) ident.Incarnation {
 	turn := int(now.Sub(h.probeAt) / probeTurnLength)
 	return entries[(h.probes+turn)%len(entries)]
 }
 
-// Progress learns the pace: a run has got on, within spent, by as much as its estimate says should take work.
-func (h *Health) RecordProgress(spent, work time.Duration) {
-	keep := math.Exp(-float64(spent) / float64(paceWindow))
-	h.actual = h.actual*keep + float64(spent)
-	h.expected = h.expected*keep + float64(work)
+// RecordProgress updates the pace: a run took actual for progress that should take expected by its estimate.
+func (h *Health) RecordProgress(actual, expected time.Duration) {
+	keep := math.Exp(-float64(actual) / float64(paceWindow))
+	h.actual = h.actual*keep + float64(actual)
+	h.expected = h.expected*keep + float64(expected)
 }
 
-// Pace is the recent ratio of run times to estimates; zero is unknown.
+// Pace returns the ratio of recent run times to their estimates; zero if it is unknown.
 func (h *Health) Pace() float64 {
 	if h.expected == 0 {
 		return 0
@@ -96,13 +96,13 @@
 	return h.actual / h.expected
 }
 
-// ForgetPace forgets the pace: what it was says nothing of what it will be.
+// ForgetPace discards the pace, when the past pace says nothing about the future one.
 func (h *Health) ForgetPace() { h.actual, h.expected = 0, 0 }
 
-// Slow tells whether the upstream is slow beside others; median is the median of all paces, zero when it is unknown.
+// IsSlow reports whether the upstream is slow compared with others. median is the median of all paces; zero if it is unknown.
 func (h *Health) IsSlow(median float64) bool { return fleet.Slow(h.Pace(), median) }
 
-// Stalled tells whether a run that has shown no progress for idle stands still.
+// IsStalled reports whether a run counts as stalled that has made no progress for idle.
 func IsStalled(idle, estimate time.Duration) bool {
 	return idle > stallBase+time.Duration(stallShare*float64(estimate))
 }
