--- a/internal/agent/lease/lease.go
+++ b/internal/agent/lease/lease.go
@@ -1,5 +1,4 @@
-// Package lease keeps an agent's account of its upstream's clock, of the lease on what runs there, and of the fencing
-// token.
+// Package lease tracks the clock of an agent's upstream, the lease on the runs there, and the fencing token.
 package lease
 
 import (
@@ -9,45 +8,46 @@
 	"hillreel/internal/core/fleet"
 )
 
-// Lease is the account of one life of an upstream, with a token that outlasts it.
+// Lease holds the clock and the lease of one life of an upstream, and a fencing token that goes on across lives. Unless the agent extends
+// the lease, the upstream kills all runs when its clock passes the lease.
 type Lease struct {
 	length time.Duration
-	// clock is the newest known reading of the upstream's clock, taken at readAt; a zero readAt is none.
+	// clock is the newest known reading of the upstream's clock, taken at clockReadAt; a zero clockReadAt means that there is none.
 	clock       call.Clock
 	clockReadAt time.Time
-	// until is the latest lease that any call carried.
+	// until is the latest lease that any call has carried.
 	until call.Clock
-	// misled: calls that were meant for another life may have extended the lease of this one, whose clock isn't known yet.
+	// mayBeExtended: calls that were meant for another life may have extended the lease of this one, whose clock isn't known yet.
 	mayBeExtended bool
-	// token never falls: the next life of an upstream may have the same id, and take late calls to the former for its own.
+	// token never falls: the next life of an upstream may have the same id, and accept late calls for the former one.
 	token call.Token
-	// step is by how much the token was raised last to outbid a foreign one.
+	// lastStep is by how much RaiseTokenAbove last raised the token.
 	lastStep call.Token
 }
 
-// New returns an account of a life of which nothing is known yet.
+// New returns the Lease of a life of which nothing is known yet. length is the length of the leases that calls carry.
 func New(length time.Duration, now time.Time) Lease {
 	return Lease{length: length, token: newToken(now)}
 }
 
-// token is one that is higher than those of all earlier agents of this VM: they were at most the VM's time of day, in Unix
-// milliseconds. If that was set back meanwhile, the upstream refuses the token, and Outbid finds a higher one.
+// newToken returns a token that is higher than those of all earlier agents of this VM: these were at most the VM's time of day, in Unix
+// milliseconds. If the VM's clock was set back in the meantime, the upstream refuses the token, and RaiseTokenAbove finds a higher one.
 func newToken(now time.Time) call.Token { return call.Token(now.UnixMilli()) }
 
-// Begin begins the account of another life. clock is a reading of its clock; zero is none. misled: calls that were meant for the life
-// before, whose clock read something else, may have extended the lease of this one.
-func (l *Lease) Reset(now time.Time, clock call.Clock, misled bool) {
+// Reset prepares the Lease for another life. clock is a reading of its clock; zero if there is none. mayBeExtended says that calls for
+// the former life, whose clock had other readings, may have extended the lease of the new one.
+func (l *Lease) Reset(now time.Time, clock call.Clock, mayBeExtended bool) {
 	l.RaiseToken(now)
-	l.clock, l.clockReadAt, l.until, l.mayBeExtended = 0, time.Time{}, 0, misled
+	l.clock, l.clockReadAt, l.until, l.mayBeExtended = 0, time.Time{}, 0, mayBeExtended
 	if clock > 0 {
 		l.RecordClock(now, clock)
 	}
 }
 
-// Longest is the longest lease that an upstream takes: hold_max_ms on all deployments seen. It cuts longer ones to that.
+// MaxLength is the longest lease that an upstream accepts: hold_max_ms in all known deployments. The upstream cuts longer ones to it.
 const MaxLength = call.Clock(time.Second)
 
-// Now is a reading that the upstream's clock has surely passed.
+// ClockNow returns a reading that the upstream's clock has certainly passed.
 func (l *Lease) ClockNow(now time.Time) call.Clock {
 	if l.clockReadAt.IsZero() {
 		return 0
@@ -55,7 +55,7 @@
 	return l.clock + call.Clock(float64(now.Sub(l.clockReadAt))/fleet.MaxClockRatio)
 }
 
-// Read notes a reading that came with an answer.
+// RecordClock records a reading of the upstream's clock from an answer.
 func (l *Lease) RecordClock(now time.Time, c call.Clock) {
 	if c > l.ClockNow(now) {
 		l.clock, l.clockReadAt = c, now
@@ -66,40 +66,40 @@
 	}
 }
 
-// Mislead notes that until now calls which were meant for another life may have extended the lease.
+// AssumeForeignExtension assumes that until now calls that were meant for another life may have extended the lease.
 func (l *Lease) AssumeForeignExtension(now time.Time) {
 	l.until = max(l.until, l.ClockNow(now)+MaxLength)
 }
 
-// Extend returns the lease that a call made now carries.
+// Extend returns the lease for a call that is made now.
 func (l *Lease) Extend(now time.Time) call.Clock {
 	until := l.ClockNow(now) + call.Clock(l.length)
 	l.until = max(l.until, until)
 	return until
 }
 
-// Margin is the upstream's own time to kill what has lapsed: stop_ms on all deployments seen.
+// KillMargin is the time that the upstream takes to kill runs whose lease has lapsed: stop_ms in all known deployments.
 const KillMargin = 50 * time.Millisecond
 
-// Lapsed tells whether the latest lease has surely run out, so that nothing runs any more.
+// Lapsed reports whether the latest lease has certainly lapsed, so that nothing runs any more.
 func (l *Lease) Lapsed(now time.Time) bool { return l.LapsedFor(now) > 0 }
 
-// Overdue is for how long the latest lease has surely run out; it is negative before.
+// LapsedFor returns for how long the latest lease has certainly lapsed; it is negative before.
 func (l *Lease) LapsedFor(now time.Time) time.Duration {
 	return time.Duration(l.ClockNow(now) - l.until - call.Clock(KillMargin))
 }
 
-// Token is what calls carry.
+// Token returns the fencing token for calls.
 func (l *Lease) Token() call.Token { return l.token }
 
-// Raise raises the token, so that calls made before can do nothing from the next answered call on.
+// RaiseToken raises the token, so that earlier calls have no effect after the next answered call.
 func (l *Lease) RaiseToken(now time.Time) { l.token = max(l.token+1, newToken(now)) }
 
-// Outbid raises the token by more each time: the upstream has seen a higher one than refused, and does not tell which. Twice as
-// much each time reaches any in a few dozen calls.
+// RaiseTokenAbove raises the token after a call was refused. The upstream has seen a token above refused, but doesn't tell which. The
+// step doubles each time, so that any token is reached within a few dozen calls.
 func (l *Lease) RaiseTokenAbove(now time.Time, refused call.Token) {
 	if refused < l.token {
-		return // it was raised since
+		return // the token was raised since that call
 	}
 	l.lastStep = max(1, 2*l.lastStep)
 	l.token = max(l.token+l.lastStep, newToken(now))
