--- a/internal/agent/ends/ends.go
+++ b/internal/agent/ends/ends.go
@@ -1,8 +1,8 @@
-// Package ends keeps an agent's account of the ends that its upstream lists, and of how far the upstream may forget them.
+// Package ends tracks the ends that an agent's upstream lists, and up to which number the upstream may forget them.
 //
-// The end of a run of a kept job is remembered by the upstream until the job's entry has stored it: it is the witness
-// that the task must not run again. The upstream forgets ends up to a number, so one that is withheld withholds all
-// later ones.
+// The upstream remembers the end of a kept job's run until the job's entry has stored it: the remembered end is the evidence that the
+// task must not run again. The upstream forgets all ends up to a number, so an end that is withheld from being forgotten withholds all
+// later ones too.
 package ends
 
 import (
@@ -15,19 +15,19 @@
 	"hillreel/internal/core/job"
 )
 
-// ListLimit is how many ends an upstream lists at once. Those beyond are listed only once earlier ones are forgotten.
+// ListLimit is how many ends an upstream lists at once. Further ends are listed only once earlier ones are forgotten.
 const ListLimit = 500
 
 const (
-	// crowded is from how many remembered ends on the oldest withheld ones are made void: four fifths of the limit, which
-	// leaves two seconds of a busy upstream's ends for the lease to lapse.
+	// voidThreshold is the number of remembered ends from which on the oldest withheld ends are made void. It is four fifths of
+	// ListLimit: the rest holds two seconds of a busy upstream's ends, in which the lease can lapse.
 	voidThreshold = 400
-	// crowdedAge is how old an end must be for that: while the store answers, ends are stored sooner.
+	// voidMinAge is the least age of an end that is made void for that reason: while the store answers, ends are stored sooner.
 	voidMinAge = 3 * time.Second
 )
 
-// tellEvery is the pause after which an end that nobody has noted is told again: ends are stored within 0.5 s unless the
-// store is away.
+// resendInterval is the pause after which an end that no entry has resolved is sent again. Ends are stored within 0.5 s unless the store
+// is unavailable.
 const resendInterval = 2 * time.Second
 
 // Withheld is an end that the upstream must not forget yet.
@@ -37,115 +37,115 @@
 
 	number uint64
 	since  time.Time
-	// toldAt is when the end was told last, tellings how often it was told again.
+	// sentAt is when the end was last sent, resends how often it was sent again.
 	sentAt  time.Time
 	resends int
-	// void: the task has been placed again, so the end must count for nothing: the lease has to lapse before the
-	// upstream may forget it.
+	// void: the task has been placed again, so that the end must count for nothing. The lease has to lapse before the upstream may forget
+	// the end.
 	void bool
 }
 
-// Account is that of one life of an upstream.
+// Tracker tracks the ends of one life of an upstream. The zero Tracker is ready for use.
 type Tracker struct {
-	// taken is the highest number of an end that was taken in.
+	// lastRecorded is the highest number of an end that was recorded.
 	lastRecorded uint64
-	// withheld are in the order of their numbers.
+	// withheld is sorted by the numbers of the ends.
 	withheld []*Withheld
 }
 
-// Take notes a listed end, and tells whether it is new.
-func (a *Tracker) Record(f call.Finished) bool {
-	if f.Number <= a.lastRecorded {
+// Record records a listed end, and reports whether it is new.
+func (t *Tracker) Record(f call.Finished) bool {
+	if f.Number <= t.lastRecorded {
 		return false
 	}
-	a.lastRecorded = f.Number
+	t.lastRecorded = f.Number
 	return true
 }
 
 // Void makes the end count for nothing.
 func (w *Withheld) Void() { w.void = true }
 
-// Withhold keeps the end that was taken last from being forgotten.
-func (a *Tracker) Withhold(now time.Time, owner ident.Incarnation, e fleet.End) *Withheld {
-	w := &Withheld{End: e, Owner: owner, number: a.lastRecorded, since: now, sentAt: now}
-	a.withheld = append(a.withheld, w)
+// Withhold keeps the end that was recorded last from being forgotten.
+func (t *Tracker) Withhold(now time.Time, owner ident.Incarnation, e fleet.End) *Withheld {
+	w := &Withheld{End: e, Owner: owner, number: t.lastRecorded, since: now, sentAt: now}
+	t.withheld = append(t.withheld, w)
 	return w
 }
 
-// Seen is the number up to which the upstream may forget ends.
-func (a *Tracker) AckedUpTo() uint64 {
-	if len(a.withheld) > 0 {
-		return a.withheld[0].number - 1
+// AckedUpTo returns the number up to which the upstream may forget ends.
+func (t *Tracker) AckedUpTo() uint64 {
+	if len(t.withheld) > 0 {
+		return t.withheld[0].number - 1
 	}
-	return a.lastRecorded
+	return t.lastRecorded
 }
 
 // Len returns how many ends are withheld.
-func (a *Tracker) Len() int { return len(a.withheld) }
+func (t *Tracker) Len() int { return len(t.withheld) }
 
-// remembered is how many ends the upstream remembers, or will once it has listed them.
-func (a *Tracker) remembered() int { return int(a.lastRecorded - a.AckedUpTo()) }
+// remembered returns how many of the recorded ends the upstream still remembers.
+func (t *Tracker) remembered() int { return int(t.lastRecorded - t.AckedUpTo()) }
 
-// Full tells whether the ends of runs that are under way might not be listed any more.
-func (a *Tracker) Full(runs int) bool { return a.remembered()+runs >= ListLimit }
+// Full reports whether the ends of the given number of present runs might not fit into the list any more.
+func (t *Tracker) Full(runs int) bool { return t.remembered()+runs >= ListLimit }
 
-// Relieve makes old withheld ends void when the upstream remembers too many.
-func (a *Tracker) VoidOld(now time.Time) {
-	if a.remembered() < voidThreshold {
+// VoidOld makes old withheld ends void if the upstream remembers too many.
+func (t *Tracker) VoidOld(now time.Time) {
+	if t.remembered() < voidThreshold {
 		return
 	}
-	for _, w := range a.withheld {
+	for _, w := range t.withheld {
 		if now.Sub(w.since) > voidMinAge {
 			w.Void()
 		}
 	}
 }
 
-// Note lets ends be forgotten that are stored, or marks them void.
-func (a *Tracker) Resolve(runs []fleet.RunRef, void bool) {
+// Resolve removes ends that are stored, so that they may be forgotten, or makes them void.
+func (t *Tracker) Resolve(runs []fleet.RunRef, void bool) {
 	for _, r := range runs {
-		i := slices.IndexFunc(a.withheld, func(w *Withheld) bool { return w.End.Task == r.Task && w.End.Run == r.Run })
+		i := slices.IndexFunc(t.withheld, func(w *Withheld) bool { return w.End.Task == r.Task && w.End.Run == r.Run })
 		switch {
 		case i < 0:
 		case void:
-			a.withheld[i].Void()
+			t.withheld[i].Void()
 		default:
-			a.withheld = slices.Delete(a.withheld, i, i+1)
+			t.withheld = slices.Delete(t.withheld, i, i+1)
 		}
 	}
 }
 
-// Of lists what is withheld of an entry.
-func (a *Tracker) ListOwnedBy(owner ident.Incarnation) []*Withheld {
-	return a.filter(func(w *Withheld) bool { return w.Owner == owner && !w.void })
+// ListOwnedBy returns the withheld ends of an entry that are not void.
+func (t *Tracker) ListOwnedBy(owner ident.Incarnation) []*Withheld {
+	return t.filter(func(w *Withheld) bool { return w.Owner == owner && !w.void })
 }
 
-// Claim gives the withheld ends of some jobs to the entry that has taken them over, and lists them.
-func (a *Tracker) Reassign(jobs map[job.ID]bool, by ident.Incarnation) []*Withheld {
-	claimed := a.filter(func(w *Withheld) bool { return jobs[w.End.Task.Job] && !w.void })
+// Reassign gives the withheld ends of some jobs to the entry that has taken the jobs over, and returns them.
+func (t *Tracker) Reassign(jobs map[job.ID]bool, by ident.Incarnation) []*Withheld {
+	claimed := t.filter(func(w *Withheld) bool { return jobs[w.End.Task.Job] && !w.void })
 	for _, w := range claimed {
 		w.Owner = by
 	}
 	return claimed
 }
 
-// Find returns a withheld end of a task that ended well, or nil.
-func (a *Tracker) FindDone(t job.TaskID) *Withheld {
-	for _, w := range a.withheld {
-		if w.End.Task == t && w.End.Outcome == job.Done && !w.void {
+// FindDone returns the withheld end of a task that ended well, or nil.
+func (t *Tracker) FindDone(task job.TaskID) *Withheld {
+	for _, w := range t.withheld {
+		if w.End.Task == task && w.End.Outcome == job.Done && !w.void {
 			return w
 		}
 	}
 	return nil
 }
 
-// Again lists the ends that are to be told again now, each with the entry that is to hear of it: not always the one that
-// the run was for, since that may not have the job any more.
-func (a *Tracker) DueForResend(now time.Time, entries []ident.Incarnation) (out []*Withheld, to []ident.Incarnation) {
+// DueForResend returns the ends that are to be sent again now, each with the entry to send it to. That is not always the entry that
+// ordered the run, since the job may not belong to it any more.
+func (t *Tracker) DueForResend(now time.Time, entries []ident.Incarnation) (out []*Withheld, to []ident.Incarnation) {
 	if len(entries) == 0 {
 		return nil, nil
 	}
-	for _, w := range a.withheld {
+	for _, w := range t.withheld {
 		if w.void || now.Sub(w.sentAt) < resendInterval {
 			continue
 		}
@@ -156,19 +156,19 @@
 	return out, to
 }
 
-// AnyVoid tells whether an end waits for the lease to lapse.
-func (a *Tracker) HasVoid() bool {
-	return slices.ContainsFunc(a.withheld, func(w *Withheld) bool { return w.void })
+// HasVoid reports whether an end waits for the lease to lapse.
+func (t *Tracker) HasVoid() bool {
+	return slices.ContainsFunc(t.withheld, func(w *Withheld) bool { return w.void })
 }
 
-// Lapsed lets void ends be forgotten: the lease has lapsed since they were listed.
-func (a *Tracker) DropVoid() {
-	a.withheld = slices.DeleteFunc(a.withheld, func(w *Withheld) bool { return w.void })
+// DropVoid removes the void ends, so that they may be forgotten. The lease must have lapsed since they were listed.
+func (t *Tracker) DropVoid() {
+	t.withheld = slices.DeleteFunc(t.withheld, func(w *Withheld) bool { return w.void })
 }
 
-func (a *Tracker) filter(f func(*Withheld) bool) []*Withheld {
+func (t *Tracker) filter(f func(*Withheld) bool) []*Withheld {
 	var out []*Withheld
-	for _, w := range a.withheld {
+	for _, w := range t.withheld {
 		if f(w) {
 			out = append(out, w)
 		}
