--- a/internal/agent/lives/lives.go
+++ b/internal/agent/lives/lives.go
@@ -1,8 +1,10 @@
-// Package lives keeps an agent's account of the lives of its upstream that have been heard of, beside the present one.
+// Package lives tracks the known lives of an agent's upstream other than the present one. A life is one incarnation of the upstream: one
+// run of its process.
 //
-// A heartbeat of another life than the known one may be a later life's, or an earlier one's that was held up on the way: only the
-// upstream can tell. To believe it would cost, in the second case, all runs that are told as lost while they go on, and the
-// upstream itself, whose heartbeats would count as those of a past life. So it is a claim, until the upstream has answered.
+// A heartbeat of a life other than the present one may come from a later life, or be a delayed one from an earlier life; only the
+// upstream can tell which. If the agent trusted a delayed heartbeat, it would report all runs as lost while they go on. It would also
+// lose the upstream itself, because the heartbeats of the present life would count as those of a past one. So such a heartbeat is a claim
+// until the upstream has answered a query.
 package lives
 
 import (
@@ -16,58 +18,58 @@
 	"hillreel/internal/core/ident"
 )
 
-// Beat is a heartbeat of the upstream.
+// Heartbeat is a heartbeat of the upstream.
 type Heartbeat struct {
 	fleet.Upstream
-	// Born tells lives under one id apart.
+	// Born distinguishes the lives that have the same id.
 	Born ident.Born
-	// Sequence rises with each heartbeat of one life.
+	// Sequence rises with each heartbeat of a life.
 	Sequence uint64
-	// Clock is a reading of the upstream's clock; zero is none.
+	// Clock is a reading of the upstream's clock; zero if there is none.
 	Clock call.Clock
-	// Draining: it takes no more work and ends soon.
+	// Draining: the upstream accepts no more work and ends soon.
 	Draining bool
-	// Cold is how much longer it is slow from its start.
+	// ColdFor is how much longer the upstream is slow because of its warm-up.
 	ColdFor time.Duration
-	// Recalled: no heartbeat has come; it is what an earlier process of the agent has remembered.
+	// Recalled: this is not a received heartbeat, but what an earlier process of the agent has stored.
 	Recalled bool
 }
 
-// Life is whose heartbeat it is.
+// Life returns the life that sent the heartbeat.
 func (b *Heartbeat) Life() ident.UpstreamLife { return ident.UpstreamLife{ID: b.ID, Born: b.Born} }
 
-// Known is what the agent's next process should know of the upstream: its VM keeps nothing, and the upstream does not repeat at once
-// what it was told is heard.
+// Snapshot is what the agent's next process should know of the upstream. It has to be stored elsewhere: the VM keeps nothing, and the
+// upstream doesn't at once repeat messages that were acknowledged.
 type Snapshot struct {
 	fleet.Upstream
 	Born ident.Born
-	// Draining: the upstream has said that it leaves.
+	// Draining: the upstream has announced that it ends soon.
 	Draining bool
-	// Crashes are of the VM's upstreams. They are remembered with the upstream, and mean nothing here.
+	// Crashes are the crashes of upstreams on this VM. They are stored together with the upstream; this package doesn't use them.
 	Crashes []fleet.Crash
 }
 
-// Life is the life that is known.
-func (k *Snapshot) Life() ident.UpstreamLife { return ident.UpstreamLife{ID: k.ID, Born: k.Born} }
+// Life returns the life that the snapshot describes.
+func (s *Snapshot) Life() ident.UpstreamLife { return ident.UpstreamLife{ID: s.ID, Born: s.Born} }
 
-// Beat is what is known, as if a heartbeat had told it before all others.
-func (k *Snapshot) Heartbeat() Heartbeat {
-	return Heartbeat{Upstream: k.Upstream, Born: k.Born, Draining: k.Draining, Recalled: true}
+// Heartbeat returns the snapshot as a heartbeat that precedes all others.
+func (s *Snapshot) Heartbeat() Heartbeat {
+	return Heartbeat{Upstream: s.Upstream, Born: s.Born, Draining: s.Draining, Recalled: true}
 }
 
 // Claim is the newest heartbeat of a life other than the present one.
 type Claim struct {
 	Heartbeat Heartbeat
-	// lease has the token that the question carries.
+	// lease supplies the token of the query.
 	lease lease.Lease
-	// asking is true while the question is under way, asked when it was put.
+	// querying is true while a query is in flight; queriedAt is when the last one was made.
 	querying  bool
 	queriedAt time.Time
-	// since is when it was claimed first.
+	// claimedAt is when the life was first claimed.
 	claimedAt time.Time
 }
 
-// Ask returns the token of a question that is to be put now; false is that one is under way.
+// BeginQuery returns the token of a query that is to be made now. It returns false if a query is already in flight.
 func (c *Claim) BeginQuery(now time.Time) (call.Token, bool) {
 	if c.querying {
 		return 0, false
@@ -76,68 +78,70 @@
 	return c.lease.Token(), true
 }
 
-// Answered notes that the question is not under way any more.
+// EndQuery records that the query is no longer in flight.
 func (c *Claim) EndQuery() { c.querying = false }
 
-// Outbid raises the token of the next question above one that was refused.
+// RaiseToken raises the token of the next query above one that was refused.
 func (c *Claim) RaiseToken(now time.Time, refused call.Token) { c.lease.RaiseTokenAbove(now, refused) }
 
-// An upstream that flaps for weeks has a new life each second. What is forgotten costs a question: a late heartbeat of a forgotten life
-// is a claim again, and a claimed life that is present sends another heartbeat.
+// An upstream that restarts again and again may have a new life each second for weeks, so the memory for lives is bounded. What is
+// forgotten costs only a query: a late heartbeat of a forgotten life becomes a claim again, and the present life sends another heartbeat
+// if its claim was dropped.
 const (
-	// maxPast bounds the lives that are remembered as ended: an hour of lives of 14 s, in some 40 kB.
+	// maxEnded bounds the remembered ended lives: an hour of lives of 14 s each, in some 40 kB.
 	maxEnded = 256
-	// maxClaims bounds the lives that may be present. Each is asked for up to four times a second while the upstream gives no answer.
+	// maxClaims bounds the claims. Each is queried up to four times a second while the upstream doesn't answer.
 	maxClaims = 8
 )
 
-// Account is that of one agent.
+// Tracker tracks the ended and the claimed lives of one agent's upstream.
 type Tracker struct {
-	// past holds lives that have ended, whose late heartbeats mean nothing; ended lists them from the oldest on, maxPast at most.
+	// isEnded holds the lives that have ended, whose late heartbeats are ignored. ended lists them from the oldest to the newest,
+	// maxEnded at most.
 	isEnded map[ident.UpstreamLife]bool
 	ended   []ident.UpstreamLife
-	// claims are lives that may be present, until the upstream has said whether it is one of them; maxClaims at most.
+	// claims holds the lives that may be present, until the upstream has answered which life is; maxClaims at most.
 	claims map[ident.UpstreamLife]*Claim
 }
 
-// New returns an account of no life.
+// New returns a Tracker without lives.
 func New() *Tracker {
 	return &Tracker{isEnded: make(map[ident.UpstreamLife]bool), claims: make(map[ident.UpstreamLife]*Claim)}
 }
 
-// Past tells whether a life has ended.
-func (a *Tracker) HasEnded(life ident.UpstreamLife) bool { return a.isEnded[life] }
+// HasEnded reports whether a life has ended.
+func (t *Tracker) HasEnded(life ident.UpstreamLife) bool { return t.isEnded[life] }
 
-// End notes that a life has ended.
-func (a *Tracker) RecordEnded(life ident.UpstreamLife) {
-	delete(a.claims, life)
-	if a.isEnded[life] {
+// RecordEnded records that a life has ended.
+func (t *Tracker) RecordEnded(life ident.UpstreamLife) {
+	delete(t.claims, life)
+	if t.isEnded[life] {
 		return
 	}
-	a.isEnded[life] = true
-	a.ended = append(a.ended, life)
-	if len(a.ended) > maxEnded {
-		delete(a.isEnded, a.ended[0])
-		a.ended = slices.Delete(a.ended, 0, 1)
+	t.isEnded[life] = true
+	t.ended = append(t.ended, life)
+	if len(t.ended) > maxEnded {
+		delete(t.isEnded, t.ended[0])
+		t.ended = slices.Delete(t.ended, 0, 1)
 	}
 }
 
-// Begin notes that a life is the present one.
-func (a *Tracker) RecordPresent(life ident.UpstreamLife) {
-	delete(a.isEnded, life)
-	a.ended = slices.DeleteFunc(a.ended, func(have ident.UpstreamLife) bool { return have == life })
-	delete(a.claims, life)
+// RecordPresent records that a life is the present one.
+func (t *Tracker) RecordPresent(life ident.UpstreamLife) {
+	delete(t.isEnded, life)
+	t.ended = slices.DeleteFunc(t.ended, func(have ident.UpstreamLife) bool { return have == life })
+	delete(t.claims, life)
 }
 
-// Claim takes in a heartbeat of a life other than the present one.
-func (a *Tracker) Claim(now time.Time, b Heartbeat) *Claim {
-	c := a.claims[b.Life()]
+// Claim records a heartbeat of a life other than the present one, and returns the claim of that life.
+func (t *Tracker) Claim(now time.Time, b Heartbeat) *Claim {
+	c := t.claims[b.Life()]
 	if c == nil {
 		c = &Claim{lease: lease.New(0, now), claimedAt: now}
-		a.claims[b.Life()] = c
-		a.dropOldestClaim(c)
+		t.claims[b.Life()] = c
+		t.dropOldestClaim(c)
 	}
-	// That a life leaves holds in whatever order its heartbeats arrive.
+	// A life that drains never stops draining, so this holds in whatever order its heartbeats arrive.
 	draining := c.Heartbeat.Draining || b.Draining
 	if b.Sequence >= c.Heartbeat.Sequence {
 		c.Heartbeat = b
@@ -146,33 +150,33 @@
 	return c
 }
 
-// dropClaim forgets the oldest claim but a new one, if there are too many.
-func (a *Tracker) dropOldestClaim(but *Claim) {
-	if len(a.claims) <= maxClaims {
+// dropOldestClaim removes the oldest claim other than except if there are more than maxClaims.
+func (t *Tracker) dropOldestClaim(except *Claim) {
+	if len(t.claims) <= maxClaims {
 		return
 	}
 	var oldest *Claim
-	for _, c := range a.claims {
-		if c != but && (oldest == nil || c.before(oldest)) {
+	for _, c := range t.claims {
+		if c != except && (oldest == nil || c.before(oldest)) {
 			oldest = c
 		}
 	}
-	delete(a.claims, oldest.Heartbeat.Life())
+	delete(t.claims, oldest.Heartbeat.Life())
 }
 
-// before orders claims by when they were made, and those of one moment by life, so that runs repeat.
+// before orders claims by when they were first made, then by life, so that the order is deterministic.
 func (c *Claim) before(other *Claim) bool {
 	return cmp.Or(c.claimedAt.Compare(other.claimedAt), cmp.Compare(c.Heartbeat.ID, other.Heartbeat.ID), cmp.Compare(c.Heartbeat.Born, other.Heartbeat.Born)) < 0
 }
 
-// Claimed returns what is claimed of a life, or nil.
-func (a *Tracker) FindClaim(life ident.UpstreamLife) *Claim { return a.claims[life] }
+// FindClaim returns the claim of a life, or nil.
+func (t *Tracker) FindClaim(life ident.UpstreamLife) *Claim { return t.claims[life] }
 
-// Due lists the claims whose questions were put a pause ago or earlier, in a fixed order. pause tells how long that is for a claim that
-// has gone unanswered for a time.
-func (a *Tracker) DueClaims(now time.Time, pause func(unanswered time.Duration) time.Duration) []*Claim {
+// DueClaims returns, in a fixed order, the claims whose last query is at least a pause old. pause returns the pause for a claim that has
+// gone unanswered for a time.
+func (t *Tracker) DueClaims(now time.Time, pause func(unanswered time.Duration) time.Duration) []*Claim {
 	var out []*Claim
-	for _, c := range a.claims {
+	for _, c := range t.claims {
 		if now.Sub(c.queriedAt) >= pause(now.Sub(c.claimedAt)) {
 			out = append(out, c)
 		}
