--- a/internal/agent/upstream/alone.go
+++ b/internal/agent/upstream/alone.go
@@ -7,92 +7,91 @@
 	"hillreel/internal/core/fleet"
 )
 
-// A task that may have crashed an upstream is started alone: the upstream takes nothing else while what is there ends, and for a while
-// after the task's start. What may crash an upstream at once has then done so by itself, and takes little with it.
+// A task that may have crashed an upstream is started alone: the upstream gets no other task while its present runs end, and for a time
+// after the start of this task. A task that crashes an upstream promptly then does so by itself, and few other runs are lost with it.
 
-// aloneWait is how long the end of other runs is waited for before a task is started alone. Those that still go on are then older than
-// crash.Seasoned, and not to blame if the upstream is lost promptly; to wait for their end would keep others out for longer.
+// aloneWait is the longest wait for other runs to end before a task is started alone. Runs that still go on are then older than
+// crash.SafeAge, so that a prompt loss of the upstream isn't attributed to them. A longer wait would keep other tasks out for longer.
 const aloneWait = crash.SafeAge
 
-// aloneLook is how long a look waits at the upstream while a task is alone. One look follows the other, so that the task's age is known to
-// within this and an answer's way if the upstream is lost.
-const aloneLookWait = 8 * time.Millisecond
+// alonePollWait is how long the upstream may delay its answer to a poll while a task is alone. Polls follow each other without a pause,
+// so that the age of the task at a loss is known to within this time plus the time that an answer travels.
+const alonePollWait = 8 * time.Millisecond
 
-// aloneOrder is an order of a task that is to be started alone.
+// aloneOrder is an order for a task that is to be started alone. since is when it began to wait.
 type aloneOrder struct {
 	pendingOrder
 	since time.Time
-	// asked is when the upstream was asked last whether it lives, before the start; zero is not yet.
+	// askedAt is when the upstream was last asked, before the start, whether it is alive; zero if it has not been asked.
 	askedAt time.Time
 }
 
-// aloneFor is for how long after its start an ordered task is alone; zero is not at all.
-func (w *pendingOrder) aloneFor() time.Duration { return w.order.Tasks[w.index].AloneFor }
+// aloneFor returns for how long after its start the ordered task is to be alone; zero if it needn't be.
+func (p *pendingOrder) aloneFor() time.Duration { return p.order.Tasks[p.index].AloneFor }
 
-// closed tells whether nothing may be started, because a task is alone, or is about to be.
-func (k *Controller) isReservedForAlone(now time.Time) bool {
-	return k.aloneOrder != nil || k.aloneRun != nil && now.Sub(k.aloneRun.startedAt) < k.aloneRun.aloneFor
+// isReservedForAlone reports whether nothing else may be started, because a task is alone or waits to be started alone.
+func (u *Controller) isReservedForAlone(now time.Time) bool {
+	return u.aloneOrder != nil || u.aloneRun != nil && now.Sub(u.aloneRun.startedAt) < u.aloneRun.aloneFor
 }
 
-// awaitAlone lets an order wait until its task can be started alone.
-func (k *Controller) awaitAlone(now time.Time, w pendingOrder) {
-	k.aloneOrder = &aloneOrder{pendingOrder: w, since: now}
-	k.markAllDirty()
+// awaitAlone makes an order wait until its task can be started alone.
+func (u *Controller) awaitAlone(now time.Time, p pendingOrder) {
+	u.aloneOrder = &aloneOrder{pendingOrder: p, since: now}
+	u.markAllDirty()
 }
 
-// startAlone starts the task that waits to be started alone once it is time: the upstream has nothing else that is young, and has
-// answered a question that was put after that. Without the answer, a task that is ordered just after its upstream was lost
-// would count as one that was alone there.
-func (k *Controller) startAlone(now time.Time) {
-	n := k.aloneOrder
-	if n == nil {
+// startAlone starts the waiting task once nothing else runs or aloneWait is over, and the upstream has answered a call that was made
+// after that. Without the answer, a task that is ordered just after its upstream was lost would be recorded as one that was alone there.
+func (u *Controller) startAlone(now time.Time) {
+	a := u.aloneOrder
+	if a == nil {
 		return
 	}
 	switch {
-	case !k.stateFor(now, n.owner).Accepts():
-		k.aloneOrder = nil
-		k.refuse(n.pendingOrder, fleet.NotAccepting)
-		k.markAllDirty()
-	case len(k.runs) > 0 && now.Sub(n.since) < aloneWait:
-	case !n.askedAt.IsZero() && k.lastAnswerAt.After(n.askedAt):
-		k.aloneOrder = nil
-		n.readyAlone = true
-		k.orderTask(now, n.pendingOrder)
-		k.markAllDirty()
-	case !k.looking && !now.Before(k.nextLookAt):
-		n.askedAt = now
-		k.callLook(now)
+	case !u.stateFor(now, a.owner).Accepts():
+		u.aloneOrder = nil
+		u.refuse(a.pendingOrder, fleet.NotAccepting)
+		u.markAllDirty()
+	case len(u.runs) > 0 && now.Sub(a.since) < aloneWait:
+	case !a.askedAt.IsZero() && u.lastAnswerAt.After(a.askedAt):
+		u.aloneOrder = nil
+		a.readyAlone = true
+		u.orderTask(now, a.pendingOrder)
+		u.markAllDirty()
+	case !u.polling && !now.Before(u.nextPollAt):
+		a.askedAt = now
+		u.callPoll(now)
 	}
 }
 
-// dropAlone forgets the order that waits to be started alone if it meets a condition, and tells its entry why unless that is empty.
-func (k *Controller) dropAlone(why fleet.Reason, when func(w *pendingOrder) bool) {
-	n := k.aloneOrder
-	if n == nil || !when(&n.pendingOrder) {
+// dropAlone removes the order that waits to be started alone if when holds for it. Its entry is sent why, unless why is empty.
+func (u *Controller) dropAlone(why fleet.Reason, when func(p *pendingOrder) bool) {
+	a := u.aloneOrder
+	if a == nil || !when(&a.pendingOrder) {
 		return
 	}
-	k.aloneOrder = nil
+	u.aloneOrder = nil
 	if why != "" {
-		k.refuse(n.pendingOrder, why)
+		u.refuse(a.pendingOrder, why)
 	}
-	k.markAllDirty()
+	u.markAllDirty()
 }
 
-// watchAlone asks again and again whether the upstream lives while a task is alone, so that it is known at which point of the task's run
-// an upstream was lost, and lets others be started again once the task has been alone for long enough.
-func (k *Controller) watchAlone(now time.Time) {
+// watchAlone keeps asking the upstream whether it is alive while a task is alone, so that the age of the task at a loss is known. It
+// admits other tasks again once the task has been alone for long enough.
+func (u *Controller) watchAlone(now time.Time) {
 	switch {
-	case k.aloneRun == nil:
-	case now.Sub(k.aloneRun.startedAt) >= k.aloneRun.aloneFor:
-		k.aloneRun = nil
-		k.markAllDirty()
-	case !now.Before(k.nextLookAt):
-		k.callLook(now)
+	case u.aloneRun == nil:
+	case now.Sub(u.aloneRun.startedAt) >= u.aloneRun.aloneFor:
+		u.aloneRun = nil
+		u.markAllDirty()
+	case !now.Before(u.nextPollAt):
+		u.callPoll(now)
 	}
 }
 
-// wasAlone tells whether a run was alone when it had an age.
+// wasAlone reports whether the run was still alone at an age.
 func (r *run) wasAlone(age time.Duration) bool { return r.aloneFor > 0 && age <= r.aloneFor }
 
-// mostAlone bounds how long a task is alone, whatever an entry asks for.
+// maxAlone bounds how long a task is alone, whatever an entry asks for.
 const maxAlone = 100 * crash.SafeAge
--- a/internal/agent/upstream/bench_test.go
+++ b/internal/agent/upstream/bench_test.go
@@ -18,14 +18,14 @@
 	KeepAlive: 100 * time.Millisecond,
 }
 
-// bench drives a Keeper by hand.
+// harness drives a Controller step by step, and records its calls and messages.
 type harness struct {
-	t       *testing.T
-	now     time.Time
-	manager *upstream.Controller
-	starts  []call.Start
-	stops   []call.Stop
-	holds   []call.Hold
+	t          *testing.T
+	now        time.Time
+	controller *upstream.Controller
+	starts     []call.Start
+	stops      []call.Stop
+	holds      []call.Hold
 	// answered counts the holds that were answered.
 	answered int
 	ends     map[ident.Incarnation][]fleet.End
@@ -33,58 +33,58 @@
 	resumed  []fleet.OrderedRun
 	progress []fleet.Progress
 	endsSent []uint64
-	// told counts messages about room.
+	// roomMessages counts the messages about room.
 	roomMessages int
 	seq          uint64
-	// refuted are the losses that were refuted.
+	// refuted holds the refutations of losses.
 	refuted []fleet.Refutation
-	// losses are the losses that were told.
+	// losses holds the reported losses.
 	losses []upstream.Loss
-	// endings are what observers heard of ends.
+	// endings holds the ends of runs as observers get them.
 	endings []upstream.Ending
-	// late are by how much orphanings and lapses were late.
+	// lateness holds by how much orphanings and lapses were late.
 	lateness []time.Duration
-	// unconfirmed are the ends that entries may not have heard of.
+	// unconfirmed holds the ends that entries may not have received.
 	unconfirmed []fleet.End
-	// strays are what observers heard of strays.
+	// strays holds the events of strays as observers get them.
 	strays []upstream.StrayEvent
 	takeovers
 }
 
-func (b *harness) Start(c call.Start)                         { b.starts = append(b.starts, c) }
-func (b *harness) Stop(c call.Stop)                           { b.stops = append(b.stops, c) }
-func (b *harness) Hold(c call.Hold)                           { b.holds = append(b.holds, c) }
-func (b *harness) Upstream(ident.Incarnation, fleet.Upstream) {}
-func (b *harness) Room(to ident.Incarnation, r fleet.Room)    { b.rooms[to] = r; b.roomMessages++ }
-func (b *harness) End(to ident.Incarnation, e fleet.End)      { b.ends[to] = append(b.ends[to], e) }
-func (b *harness) Settled(ident.Incarnation)                  {}
-func (b *harness) EndsSent(_ ident.Incarnation, number uint64) {
-	b.endsSent = append(b.endsSent, number)
+func (h *harness) Start(c call.Start)                         { h.starts = append(h.starts, c) }
+func (h *harness) Stop(c call.Stop)                           { h.stops = append(h.stops, c) }
+func (h *harness) Hold(c call.Hold)                           { h.holds = append(h.holds, c) }
+func (h *harness) Upstream(ident.Incarnation, fleet.Upstream) {}
+func (h *harness) Room(to ident.Incarnation, r fleet.Room)    { h.rooms[to] = r; h.roomMessages++ }
+func (h *harness) End(to ident.Incarnation, e fleet.End)      { h.ends[to] = append(h.ends[to], e) }
+func (h *harness) Settled(ident.Incarnation)                  {}
+func (h *harness) EndsSent(_ ident.Incarnation, number uint64) {
+	h.endsSent = append(h.endsSent, number)
 }
-func (b *harness) Progress(_ ident.Incarnation, runs []fleet.Progress) {
-	b.progress = append(b.progress, runs...)
+func (h *harness) Progress(_ ident.Incarnation, runs []fleet.Progress) {
+	h.progress = append(h.progress, runs...)
 }
-func (b *harness) Resumed(_ ident.Incarnation, runs []fleet.OrderedRun) {
-	b.resumed = append(b.resumed, runs...)
+func (h *harness) Resumed(_ ident.Incarnation, runs []fleet.OrderedRun) {
+	h.resumed = append(h.resumed, runs...)
 }
-func (b *harness) RunEnded(e upstream.Ending)              { b.endings = append(b.endings, e) }
-func (b *harness) StateChanged(_, _ fleet.State, _ string) {}
-func (b *harness) RunsOrphaned(_ ident.Incarnation, _ int, _ string, late time.Duration) {
-	b.lateness = append(b.lateness, late)
+func (h *harness) RunEnded(e upstream.Ending)              { h.endings = append(h.endings, e) }
+func (h *harness) StateChanged(_, _ fleet.State, _ string) {}
+func (h *harness) RunsOrphaned(_ ident.Incarnation, _ int, _ string, late time.Duration) {
+	h.lateness = append(h.lateness, late)
 }
-func (b *harness) LeaseLapsed(late time.Duration) { b.lateness = append(b.lateness, late) }
-func (b *harness) EndsUnconfirmed(_ ident.Incarnation, ends []fleet.End) {
-	b.unconfirmed = append(b.unconfirmed, ends...)
+func (h *harness) LeaseLapsed(late time.Duration) { h.lateness = append(h.lateness, late) }
+func (h *harness) EndsUnconfirmed(_ ident.Incarnation, ends []fleet.End) {
+	h.unconfirmed = append(h.unconfirmed, ends...)
 }
-func (b *harness) HeartbeatOutlived(_, _ ident.UpstreamLife)          {}
-func (b *harness) StartUnsure(job.TaskID, job.Run)                    {}
-func (b *harness) LifeBegun(ident.UpstreamLife, string, bool)         {}
-func (b *harness) HeartbeatDropped(lives.Heartbeat, uint64)           {}
-func (b *harness) OrderGated(job.TaskID, ident.Incarnation)           {}
-func (b *harness) ListingOvertaken()                                  {}
-func (b *harness) StrayChanged(_ fleet.RunRef, e upstream.StrayEvent) { b.strays = append(b.strays, e) }
-func (b *harness) LossRefuted(r fleet.Refutation)                     { b.refuted = append(b.refuted, r) }
-func (b *harness) UpstreamLost(l upstream.Loss)                       { b.losses = append(b.losses, l) }
+func (h *harness) HeartbeatOutlived(_, _ ident.UpstreamLife)          {}
+func (h *harness) StartUnsure(job.TaskID, job.Run)                    {}
+func (h *harness) LifeBegun(ident.UpstreamLife, string, bool)         {}
+func (h *harness) HeartbeatDropped(lives.Heartbeat, uint64)           {}
+func (h *harness) OrderGated(job.TaskID, ident.Incarnation)           {}
+func (h *harness) ListingOvertaken()                                  {}
+func (h *harness) StrayChanged(_ fleet.RunRef, e upstream.StrayEvent) { h.strays = append(h.strays, e) }
+func (h *harness) LossRefuted(r fleet.Refutation)                     { h.refuted = append(h.refuted, r) }
+func (h *harness) UpstreamLost(l upstream.Loss)                       { h.losses = append(h.losses, l) }
 
 // The entries and the job that the tests use.
 const (
@@ -94,70 +94,70 @@
 
 var task = job.TaskID{Job: jobID}
 
-// ordered names a run of the task; the tests' orders carry no ids but where they are what is tested.
+// ordered returns the name of a run of the task. Orders carry no ids except in the tests of ids.
 func ordered(run job.Run) fleet.OrderedRun {
 	return fleet.OrderedRun{RunRef: fleet.RunRef{Task: task, Run: run}}
 }
 
-// newBench returns a Keeper whose upstream has room for two tasks, with two entries linked and heard.
+// newHarness returns a harness whose upstream has room for two tasks, with two entries that are linked and heard.
 func newHarness(t *testing.T, without rule.Set) *harness {
-	b := &harness{
+	h := &harness{
 		t: t, now: time.Unix(1000, 0), ends: make(map[ident.Incarnation][]fleet.End), rooms: make(map[ident.Incarnation]fleet.Room),
 	}
-	b.manager = upstream.New(timing, without, b.now, b, b, b)
-	b.pass(10 * time.Millisecond)
-	b.manager.Heartbeat(b.now, lives.Heartbeat{
+	h.controller = upstream.New(timing, without, h.now, h, h, h)
+	h.pass(10 * time.Millisecond)
+	h.controller.Heartbeat(h.now, lives.Heartbeat{
 		Upstream: fleet.Upstream{ID: "u-1", Service: "publish", Total: job.Resources{CPU: 2000}}, Sequence: 1, Clock: call.Clock(time.Minute),
 	})
-	b.answerHolds()
+	h.answerHolds()
 	for _, e := range []ident.Incarnation{one, two} {
-		b.manager.EntryLinked(b.now, e)
-		b.manager.Flush(b.now)
-		b.manager.Ping(b.now, e, b.rooms[e].Clock, 0)
+		h.controller.EntryLinked(h.now, e)
+		h.controller.Flush(h.now)
+		h.controller.Ping(h.now, e, h.rooms[e].Clock, 0)
 	}
-	return b
+	return h
 }
 
-func (b *harness) pass(d time.Duration) { b.now = b.now.Add(d) }
+func (h *harness) pass(d time.Duration) { h.now = h.now.Add(d) }
 
-// look answers all holds that wait.
-func (b *harness) answerHolds(running ...call.Running) {
-	waiting := b.holds[b.answered:]
-	b.answered = len(b.holds)
+// answerHolds answers all waiting holds.
+func (h *harness) answerHolds(running ...call.Running) {
+	waiting := h.holds[h.answered:]
+	h.answered = len(h.holds)
 	for _, c := range waiting {
-		b.manager.HoldDone(b.now, c, call.HoldResult{Answer: call.OK, Clock: b.clock(), Running: running})
+		h.controller.HoldDone(h.now, c, call.HoldResult{Answer: call.OK, Clock: h.clock(), Running: running})
 	}
 }
 
-// clock is the upstream's.
-func (b *harness) clock() call.Clock {
-	return call.Clock(time.Minute) + call.Clock(b.now.Sub(time.Unix(1000, 0)))
+// clock returns a reading of the upstream's clock.
+func (h *harness) clock() call.Clock {
+	return call.Clock(time.Minute) + call.Clock(h.now.Sub(time.Unix(1000, 0)))
 }
 
-func (b *harness) order(e ident.Incarnation, run job.Run) {
-	b.seq++
-	b.manager.Order(b.now, e, fleet.Order{
-		Seq: b.seq, Job: jobID, Each: job.Resources{CPU: 1000}, Estimate: time.Second, Tasks: []fleet.TaskRun{{Run: run}},
+func (h *harness) order(e ident.Incarnation, run job.Run) {
+	h.seq++
+	h.controller.Order(h.now, e, fleet.Order{
+		Seq: h.seq, Job: jobID, Each: job.Resources{CPU: 1000}, Estimate: time.Second, Tasks: []fleet.TaskRun{{Run: run}},
 	})
-	b.manager.Flush(b.now)
+	h.controller.Flush(h.now)
 }
 
 // orderBeside orders a task of another job for an entry.
-func (b *harness) orderBeside(e ident.Incarnation, run job.Run) {
-	b.seq++
-	b.manager.Order(b.now, e, fleet.Order{
-		Seq: b.seq, Job: jobID + 1, Each: job.Resources{CPU: 1000}, Estimate: time.Second, Tasks: []fleet.TaskRun{{Run: run}},
+func (h *harness) orderBeside(e ident.Incarnation, run job.Run) {
+	h.seq++
+	h.controller.Order(h.now, e, fleet.Order{
+		Seq: h.seq, Job: jobID + 1, Each: job.Resources{CPU: 1000}, Estimate: time.Second, Tasks: []fleet.TaskRun{{Run: run}},
 	})
-	b.manager.Flush(b.now)
+	h.controller.Flush(h.now)
 }
 
-// end answers all holds that wait with the end of the first run.
-func (b *harness) end(how call.Result) {
-	waiting := b.holds[b.answered:]
-	b.answered = len(b.holds)
+// end answers all waiting holds with the end of the first run.
+func (h *harness) end(result call.Result) {
+	waiting := h.holds[h.answered:]
+	h.answered = len(h.holds)
 	for _, c := range waiting {
-		b.manager.HoldDone(b.now, c, call.HoldResult{
-			Answer: call.OK, Clock: b.clock(), Finished: []call.Finished{{Number: 1, Task: task, Run: 1, Result: how}},
+		h.controller.HoldDone(h.now, c, call.HoldResult{
+			Answer: call.OK, Clock: h.clock(), Finished: []call.Finished{{Number: 1, Task: task, Run: 1, Result: result}},
 		})
 	}
 }
--- a/internal/agent/upstream/ending.go
+++ b/internal/agent/upstream/ending.go
@@ -7,50 +7,50 @@
 	"hillreel/internal/core/ident"
 )
 
-// StopCause says what a run is stopped for. For the runs of a lost entry it is what told of the loss, as in Orphaned.
+// StopCause says why a run is stopped. For the runs of a lost entry it is the cause that Observer.RunsOrphaned gets.
 type StopCause string
 
-// The causes that are no entry's word and no loss of one.
+// The causes other than the request of an entry or the loss of one.
 const (
-	// SentAgain: another entry has ordered the same task, so its caller has gone there.
+	// SentAgain: another entry has ordered the same task, so that the caller has sent its job there.
 	SentAgain StopCause = "sent_again"
-	// TakenOver: another entry has taken the kept job over.
+	// TakenOver: another entry has taken over the kept job.
 	TakenOver StopCause = "taken_over"
-	// NoProgress: the run stands still.
+	// NoProgress: the run makes no progress.
 	NoProgress StopCause = "no_progress"
 )
 
-// Ending is the end of a run as observers hear of it. Its times are counted back from the moment at which the end was certain.
+// Ending is the end of a run as reported to observers. Its durations count back from the moment at which the end was certain.
 type Ending struct {
 	fleet.End
-	// Owner is the entry that had ordered the run.
+	// Owner is the entry that ordered the run.
 	Owner ident.Incarnation
-	// Begun is how long ago the run was, or may have been, started.
+	// StartedAgo is how long ago the start call was made, whether or not it was carried out.
 	StartedAgo time.Duration
-	// Stop is nil for a run that was not asked to stop.
+	// Stop is nil if the run was not asked to stop.
 	Stop *Stop
-	// Next is the entry that has ordered the task anew meanwhile; zero is none.
+	// Successor is the entry that has ordered the task again in the meantime; zero if none has.
 	Successor ident.Incarnation
-	// Unheard: its owner is not linked, and hears of the end when it is back, if at all.
+	// OwnerUnlinked: the owner is not linked, and learns of the end only if it links again.
 	OwnerUnlinked bool
 }
 
-// Stop is how a run was stopped.
+// Stop describes how a run was stopped.
 type Stop struct {
 	Cause StopCause
-	// Asked is how long ago the upstream was first to stop the run, Answered how long ago it first said that it would.
+	// AskedAgo is how long ago the upstream was first asked to stop the run, AnsweredAgo how long ago it first accepted that.
 	AskedAgo, AnsweredAgo time.Duration
-	// Acked is false if the upstream has never answered; Answered is nothing then.
+	// IsAnswered is false if the upstream has accepted no stop; AnsweredAgo then means nothing.
 	IsAnswered bool
-	// Unwanted: the job's caller may have sent it elsewhere, so that the run has to end within Timing.StoppedWithin. Pressing is for how
-	// long that was so.
+	// Unwanted: the caller may have sent the job to another entry, so that the run has to end within Timing.StopBound. UnwantedFor is
+	// how long the run has been unwanted.
 	Unwanted    bool
 	UnwantedFor time.Duration
 }
 
-// ending describes the end of a run.
-func (k *Controller) ending(now time.Time, r *run, e fleet.End) Ending {
-	owner := k.sessions[r.owner]
+// ending returns the description of a run's end.
+func (u *Controller) ending(now time.Time, r *run, e fleet.End) Ending {
+	owner := u.sessions[r.owner]
 	out := Ending{End: e, Owner: r.owner, StartedAgo: now.Sub(r.startedAt), OwnerUnlinked: owner == nil || !owner.linked}
 	if r.successor != nil {
 		out.Successor = r.successor.owner
@@ -61,7 +61,7 @@
 	return out
 }
 
-// told describes a stop at the end of its run.
+// summary returns the description of a stop at the end of its run.
 func (s *stopState) summary(now time.Time) *Stop {
 	out := &Stop{Cause: s.cause, AskedAgo: now.Sub(s.askedAt), IsAnswered: !s.ackedAt.IsZero(), Unwanted: s.unwanted}
 	if out.IsAnswered {
--- a/internal/agent/upstream/health_test.go
+++ b/internal/agent/upstream/health_test.go
@@ -12,48 +12,48 @@
 	"hillreel/internal/core/job"
 )
 
-// TestFailingUpstreamIsLeftAlone: after three failures in a row the upstream gets one task at a time as a probe,
-// from one entry, and after good probes it takes all again. Failures of jobs that have failed elsewhere don't count.
+// TestFailingUpstreamGetsOnlyProbes: after three consecutive failures the upstream gets one task at a time, as a probe from one entry.
+// After enough good probes it gets all tasks again. Failures of jobs that have failed before don't count.
 func TestFailingUpstreamGetsOnlyProbes(t *testing.T) {
-	b := newHarness(t, nil)
+	h := newHarness(t, nil)
 	n := uint64(0)
-	end := func(j job.ID, earlier uint32, how call.Result) {
+	end := func(j job.ID, earlier uint32, result call.Result) {
 		from := one
-		if b.rooms[two].State == fleet.Probing {
+		if h.rooms[two].State == fleet.Probing {
 			from = two
 		}
-		b.manager.Order(b.now, from, fleet.Order{Job: j, Each: job.Resources{CPU: 1000}, Tasks: []fleet.TaskRun{{Run: 1, Failures: earlier}}})
-		b.manager.StartDone(b.now, b.starts[len(b.starts)-1], call.OK, 0)
+		h.controller.Order(h.now, from, fleet.Order{Job: j, Each: job.Resources{CPU: 1000}, Tasks: []fleet.TaskRun{{Run: 1, Failures: earlier}}})
+		h.controller.StartDone(h.now, h.starts[len(h.starts)-1], call.OK, 0)
 		n++
-		b.pass(time.Millisecond)
-		b.manager.HoldDone(b.now, b.holds[len(b.holds)-1], call.HoldResult{
-			Answer: call.OK, Clock: b.clock(), Finished: []call.Finished{{Number: n, Task: job.TaskID{Job: j}, Run: 1, Result: how}},
+		h.pass(time.Millisecond)
+		h.controller.HoldDone(h.now, h.holds[len(h.holds)-1], call.HoldResult{
+			Answer: call.OK, Clock: h.clock(), Finished: []call.Finished{{Number: n, Task: job.TaskID{Job: j}, Run: 1, Result: result}},
 		})
-		b.pass(50 * time.Millisecond)
+		h.pass(50 * time.Millisecond)
 		for _, e := range []ident.Incarnation{one, two} {
-			b.manager.Ping(b.now, e, b.rooms[e].Clock, 0)
+			h.controller.Ping(h.now, e, h.rooms[e].Clock, 0)
 		}
-		b.manager.Flush(b.now)
+		h.controller.Flush(h.now)
 	}
 	for i := range 5 {
 		end(job.ID(100+i), 1, call.ResultFailed)
 	}
-	qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Ready)
+	qt.Assert(t, h.rooms[one].State, qt.Equals, fleet.Ready)
 	for i := range 3 {
 		end(job.ID(200+i), 0, call.ResultFailed)
 	}
-	qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Suspect)
-	qt.Assert(t, b.rooms[two].State, qt.Equals, fleet.Suspect)
+	qt.Assert(t, h.rooms[one].State, qt.Equals, fleet.Suspect)
+	qt.Assert(t, h.rooms[two].State, qt.Equals, fleet.Suspect)
 	probing := func() (count int) {
 		for range 4 {
-			b.pass(100 * time.Millisecond)
+			h.pass(100 * time.Millisecond)
 			for _, e := range []ident.Incarnation{one, two} {
-				b.manager.Ping(b.now, e, b.rooms[e].Clock, 0)
+				h.controller.Ping(h.now, e, h.rooms[e].Clock, 0)
 			}
-			b.manager.Flush(b.now)
+			h.controller.Flush(h.now)
 		}
 		for _, e := range []ident.Incarnation{one, two} {
-			if b.rooms[e].State == fleet.Probing {
+			if h.rooms[e].State == fleet.Probing {
 				count++
 			}
 		}
@@ -63,43 +63,43 @@
 	for i := range 4 {
 		end(job.ID(300+i), 0, call.ResultDone)
 	}
-	qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Ready)
-	qt.Assert(t, b.rooms[two].State, qt.Equals, fleet.Ready)
+	qt.Assert(t, h.rooms[one].State, qt.Equals, fleet.Ready)
+	qt.Assert(t, h.rooms[two].State, qt.Equals, fleet.Ready)
 }
 
-// TestStalledRunIsStopped: a run without progress is stopped and reported as stalled; one that gets on is not.
+// TestStalledRunIsStopped: a run without progress is stopped and reported as stalled; a run with progress is not.
 func TestStalledRunIsStopped(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		percent func(step int) int
 		stops   int
 	}{
-		{"stands still from the start", func(int) int { return 0 }, 1},
-		{"stands still half way", func(step int) int { return min(step*10, 50) }, 1},
-		{"gets on slowly", func(step int) int { return step }, 0},
+		{"no progress from the start", func(int) int { return 0 }, 1},
+		{"no progress after one half", func(step int) int { return min(step*10, 50) }, 1},
+		{"advances slowly", func(step int) int { return step }, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, nil)
-			b.order(one, 1)
-			b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
+			h := newHarness(t, nil)
+			h.order(one, 1)
+			h.controller.StartDone(h.now, h.starts[0], call.OK, 0)
 			for step := range 20 {
-				b.pass(50 * time.Millisecond)
-				b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
-				b.answerHolds(call.Running{Task: task, Run: 1, Percent: test.percent(step)})
-				b.manager.Flush(b.now)
+				h.pass(50 * time.Millisecond)
+				h.controller.Ping(h.now, one, h.rooms[one].Clock, 0)
+				h.answerHolds(call.Running{Task: task, Run: 1, Percent: test.percent(step)})
+				h.controller.Flush(h.now)
 			}
-			qt.Assert(t, b.stops, qt.HasLen, test.stops)
+			qt.Assert(t, h.stops, qt.HasLen, test.stops)
 		})
 	}
 }
 
-// TestSlowUpstreamTellsItsEntries: once the upstream is slow beside others, entries hear how long their runs will still
-// take. Before, a run that had begun there ended late, whatever room there was elsewhere.
+// TestSlowUpstreamTellsItsEntries guards against runs that end late on a slow upstream although other upstreams have room: while the
+// upstream is slow compared with others, it must be reported to entries how long their runs will still take.
 func TestSlowUpstreamTellsItsEntries(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		median float64
-		// percent is the progress in each 50 ms of a run estimated at 1 s.
+		// percent is the progress in each 50 ms of a run with an estimate of 1 s.
 		percent int
 		told    bool
 	}{
@@ -109,18 +109,18 @@
 		{"others unknown", 0, 1, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, nil)
-			b.order(one, 1)
-			b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
+			h := newHarness(t, nil)
+			h.order(one, 1)
+			h.controller.StartDone(h.now, h.starts[0], call.OK, 0)
 			for i := range 10 {
-				b.pass(50 * time.Millisecond)
-				b.manager.Ping(b.now, one, b.rooms[one].Clock, test.median)
-				b.answerHolds(call.Running{Task: task, Run: 1, Percent: (i + 1) * test.percent})
-				b.manager.Flush(b.now)
+				h.pass(50 * time.Millisecond)
+				h.controller.Ping(h.now, one, h.rooms[one].Clock, test.median)
+				h.answerHolds(call.Running{Task: task, Run: 1, Percent: (i + 1) * test.percent})
+				h.controller.Flush(h.now)
 			}
-			qt.Assert(t, len(b.progress) > 0, qt.Equals, test.told)
+			qt.Assert(t, len(h.progress) > 0, qt.Equals, test.told)
 			if test.told {
-				last := b.progress[len(b.progress)-1]
+				last := h.progress[len(h.progress)-1]
 				qt.Assert(t, last.RunRef, qt.Equals, fleet.RunRef{Task: task, Run: 1})
 				qt.Assert(t, last.Left > 3*time.Second && last.Left < 6*time.Second, qt.IsTrue, qt.Commentf("%v", last.Left))
 			}
@@ -128,66 +128,66 @@
 	}
 }
 
-// TestRetriesGrowRare: an upstream that resets every connection is asked often while an answer still saves its runs, and seldom
-// afterwards; once it answers again, that is noticed within a quarter of a second.
+// TestRetryPauseGrows: an upstream that resets every connection is called often while an answer can still save its runs, and rarely
+// afterwards. When it answers again, that is noticed within a quarter of a second.
 func TestRetryPauseGrows(t *testing.T) {
-	b := newHarness(t, nil)
-	b.order(one, 1)
-	b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
+	h := newHarness(t, nil)
+	h.order(one, 1)
+	h.controller.StartDone(h.now, h.starts[0], call.OK, h.clock())
 	fail := func(d time.Duration) int {
-		before := len(b.holds)
-		for until := b.now.Add(d); b.now.Before(until); {
-			for _, c := range b.holds[b.answered:] {
-				b.answered++
-				b.manager.HoldDone(b.now, c, call.HoldResult{Answer: call.Unanswered})
+		before := len(h.holds)
+		for until := h.now.Add(d); h.now.Before(until); {
+			for _, c := range h.holds[h.answered:] {
+				h.answered++
+				h.controller.HoldDone(h.now, c, call.HoldResult{Answer: call.Unanswered})
 			}
-			b.pass(10 * time.Millisecond)
-			b.manager.Tick(b.now)
+			h.pass(10 * time.Millisecond)
+			h.controller.Tick(h.now)
 		}
-		return len(b.holds) - before
+		return len(h.holds) - before
 	}
 	qt.Assert(t, fail(timing.Lease) >= 8, qt.IsTrue)
-	asked := fail(4 * time.Second)
-	qt.Assert(t, asked <= 40, qt.IsTrue, qt.Commentf("asked %d times in 4 s", asked))
-	before := b.now
-	for len(b.holds) == b.answered {
-		b.pass(10 * time.Millisecond)
-		b.manager.Tick(b.now)
+	calls := fail(4 * time.Second)
+	qt.Assert(t, calls <= 40, qt.IsTrue, qt.Commentf("called %d times in 4 s", calls))
+	before := h.now
+	for len(h.holds) == h.answered {
+		h.pass(10 * time.Millisecond)
+		h.controller.Tick(h.now)
 	}
-	qt.Assert(t, b.now.Sub(before) <= 260*time.Millisecond, qt.IsTrue)
+	qt.Assert(t, h.now.Sub(before) <= 260*time.Millisecond, qt.IsTrue)
 }
 
-// TestUndecidedRunIsLookedForWithPauses: while an upstream resets every connection, what became of a start without an answer is asked for a
-// few times, and once it answers the run's fate is decided.
+// TestUnsureRunIsLookedForWithPauses: while an upstream resets every connection, only a few polls are made for a run whose start got no
+// answer. Once the upstream answers, it is decided whether the run was started.
 func TestUnsureRunIsLookedForWithPauses(t *testing.T) {
-	b := newHarness(t, nil)
-	b.order(one, 1)
-	b.manager.StartDone(b.now, b.starts[0], call.Unanswered, 0)
-	looks := 0
+	h := newHarness(t, nil)
+	h.order(one, 1)
+	h.controller.StartDone(h.now, h.starts[0], call.Unanswered, 0)
+	polls := 0
 	for range 200 { // 200 ms
-		for _, c := range b.holds[b.answered:] {
-			b.answered++
+		for _, c := range h.holds[h.answered:] {
+			h.answered++
 			if c.Poll {
-				looks++
+				polls++
 			}
-			b.manager.HoldDone(b.now, c, call.HoldResult{Answer: call.Unanswered})
+			h.controller.HoldDone(h.now, c, call.HoldResult{Answer: call.Unanswered})
 		}
-		b.pass(time.Millisecond)
-		b.manager.Tick(b.now)
+		h.pass(time.Millisecond)
+		h.controller.Tick(h.now)
 	}
-	qt.Assert(t, looks >= 3 && looks <= 10, qt.IsTrue, qt.Commentf("%d looks", looks))
-	for b.manager.RunCount() > 0 && looks < 100 {
-		looks++
-		b.pass(10 * time.Millisecond)
-		b.manager.Tick(b.now)
-		b.answerHolds()
+	qt.Assert(t, polls >= 3 && polls <= 10, qt.IsTrue, qt.Commentf("%d polls", polls))
+	for h.controller.RunCount() > 0 && polls < 100 {
+		polls++
+		h.pass(10 * time.Millisecond)
+		h.controller.Tick(h.now)
+		h.answerHolds()
 	}
-	qt.Assert(t, b.manager.RunCount(), qt.Equals, 0)
-	qt.Assert(t, b.ends[one][0].Outcome, qt.Equals, job.NotStarted)
+	qt.Assert(t, h.controller.RunCount(), qt.Equals, 0)
+	qt.Assert(t, h.ends[one][0].Outcome, qt.Equals, job.NotStarted)
 }
 
-// TestRefusingUpstreamIsLeftAlone: an upstream that refuses starts, or answers them with errors, gets nothing but probes; answers that
-// are lost say nothing of it.
+// TestRefusingUpstreamIsSuspected: an upstream that refuses starts, or answers them with errors, gets only probes. Lost answers don't
+// count against it.
 func TestRefusingUpstreamIsSuspected(t *testing.T) {
 	for _, test := range []struct {
 		answer call.Answer
@@ -198,20 +198,20 @@
 		{call.Unanswered, fleet.Ready},
 	} {
 		t.Run(string(test.answer), func(t *testing.T) {
-			b := newHarness(t, nil)
+			h := newHarness(t, nil)
 			for i := range 3 {
-				b.orderOther(job.ID(300 + i))
-				b.manager.StartDone(b.now, b.starts[len(b.starts)-1], test.answer, 0)
-				b.pass(time.Millisecond)
-				b.answerHolds()
-				b.answerHolds()
+				h.orderOther(job.ID(300 + i))
+				h.controller.StartDone(h.now, h.starts[len(h.starts)-1], test.answer, 0)
+				h.pass(time.Millisecond)
+				h.answerHolds()
+				h.answerHolds()
 			}
-			b.pass(100 * time.Millisecond)
-			b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
-			b.answerHolds()
-			b.manager.Flush(b.now)
-			qt.Assert(t, b.starts, qt.HasLen, 3)
-			qt.Assert(t, b.rooms[one].State, qt.Equals, test.want)
+			h.pass(100 * time.Millisecond)
+			h.controller.Ping(h.now, one, h.rooms[one].Clock, 0)
+			h.answerHolds()
+			h.controller.Flush(h.now)
+			qt.Assert(t, h.starts, qt.HasLen, 3)
+			qt.Assert(t, h.rooms[one].State, qt.Equals, test.want)
 		})
 	}
 }
--- a/internal/agent/upstream/hold.go
+++ b/internal/agent/upstream/hold.go
@@ -9,199 +9,202 @@
 	"hillreel/internal/core/rule"
 )
 
-// An upstream that gives no usable answer is asked again after a pause. Within the lease of its runs, 400 ms by default, an answer still
-// saves them, and the pause is short; later it only says that the upstream is back, and grows with the time since the last
-// answer: each call to one that refuses or resets connections opens a new one, which has a price. In four seconds of that
-// 34 calls are made, where a fixed pause of 30 ms makes 130. A new life's heartbeat is answered by a question at once.
+// An upstream that gave no usable answer is called again after a pause. Within the lease of its runs (400 ms by default) an answer still
+// saves the runs, and the pause is short. Later, an answer only shows that the upstream is back, and the pause grows with the time since
+// the last answer: an upstream that refuses or resets connections costs a new connection for each call. In four seconds without an answer
+// this makes 34 calls, where a fixed pause of 30 ms makes 130. A heartbeat of a new life doesn't wait for the pause: the upstream is
+// queried at once.
 const (
-	// holdRetry is the shortest pause after a hold that failed, and longestRetry the longest.
+	// shortestRetry and longestRetry bound the pause after a failed hold.
 	shortestRetry = 30 * time.Millisecond
 	longestRetry  = 250 * time.Millisecond
-	// retryShare of the time since the last answer is the pause in between.
+	// The pause is the time since the last answer divided by retryPauseDivisor, within these bounds.
 	retryPauseDivisor = 8
 )
 
-// retryPause is how long to wait before an upstream is asked again that has given no answer for a while.
+// retryPause returns the pause before the next call to an upstream that has not answered for a time of silent.
 func retryPause(silent time.Duration) time.Duration {
 	return min(max(silent/retryPauseDivisor, shortestRetry), longestRetry)
 }
 
-// silent is for how long the present life has given no answer.
-func (k *Controller) silentFor(now time.Time) time.Duration {
-	if k.lifeBegan.After(k.answeredHoldSentAt) {
-		return now.Sub(k.lifeBegan)
+// silentFor returns how long the present life has not answered.
+func (u *Controller) silentFor(now time.Time) time.Duration {
+	if u.lifeBegan.After(u.answeredHoldSentAt) {
+		return now.Sub(u.lifeBegan)
 	}
-	return now.Sub(k.answeredHoldSentAt)
+	return now.Sub(u.answeredHoldSentAt)
 }
 
-// hold asks the upstream what runs, unless that is under way.
-func (k *Controller) callHold(now time.Time) {
-	if k.holding || !k.hasLife {
+// callHold makes a hold call, which asks the upstream what runs and what has ended, unless one is in flight.
+func (u *Controller) callHold(now time.Time) {
+	if u.holding || !u.hasLife {
 		return
 	}
-	k.holding = true
-	c := call.Hold{Header: k.header(now), Seen: k.ackedUpTo(now), Wait: k.timing.KeepAlive / holdWaitDivisor}
-	if k.mayHaveRestarted(now) {
+	u.holding = true
+	c := call.Hold{Header: u.header(now), Seen: u.ackedUpTo(now), Wait: u.timing.KeepAlive / holdWaitDivisor}
+	if u.mayHaveRestarted(now) {
 		c.Wait = 0
-		k.caller.Hold(c)
+		u.caller.Hold(c)
 		return
 	}
-	// A hold without an answer may have been done: one that extended the lease would put off, each time it is
-	// repeated, the moment from which on everything has surely lapsed.
-	if len(k.runs) > 0 && k.failedHolds < unreachableAfter && !k.mustLetLeaseLapse(now) {
-		c.LeaseUntil = k.lease.Extend(now)
+	// The upstream may have carried out a hold that got no answer. Repeated holds that extend the lease would each put off the time at
+	// which the lease has certainly lapsed.
+	if len(u.runs) > 0 && u.failedHolds < unreachableAfter && !u.mustLetLeaseLapse(now) {
+		c.LeaseUntil = u.lease.Extend(now)
 	}
-	if !k.runsKnown {
+	if !u.runsKnown {
 		c.Wait = 0
 	}
-	k.caller.Hold(c)
+	u.caller.Hold(c)
 }
 
-// sureFactor times the keep-alive interval is how long after a call that the present life has answered its next life can't be there:
-// 200 ms by default, and crash and start take longer. A hold is answered within a quarter of that, or was lost.
+// restartKeepAlives times the keep-alive interval, 200 ms by default, is the time after an answered call within which the next life can't
+// have begun: a crash and a start take longer. A hold is answered within a quarter of that time, or was lost.
 const restartKeepAlives = 2
 
-// unsure tells whether another life under the same id may have begun, which would take calls for its own. Until an answer says
-// which life is there, nothing starts, no end is acknowledged, and no lease extended by the clock of the one before. Where
-// lives are told by ids alone, the id in each call is enough.
-func (k *Controller) mayHaveRestarted(now time.Time) bool {
-	if k.life.Born == 0 || k.without.Has(rule.LifeBorn) {
+// mayHaveRestarted reports whether another life under the same id may have begun, which would accept calls that are meant for the present
+// one. Until an answer says which life is there, the agent starts nothing, acknowledges no end, and extends no lease by the clock of the
+// former life. Where lives differ in their ids, the id in each call is enough.
+func (u *Controller) mayHaveRestarted(now time.Time) bool {
+	if u.life.Born == 0 || u.without.Has(rule.LifeBorn) {
 		return false
 	}
-	return k.failedHolds > 0 || now.Sub(k.answeredHoldSentAt) > restartKeepAlives*k.timing.KeepAlive
+	return u.failedHolds > 0 || now.Sub(u.answeredHoldSentAt) > restartKeepAlives*u.timing.KeepAlive
 }
 
-// holdShare: a hold waits for half of the keep-alive interval, so that a run that stands still is seen soon on an
+// holdWaitDivisor: a hold waits at the upstream for the keep-alive interval divided by this, so that a stalled run is noticed soon on an
 // upstream where nothing ends.
 const holdWaitDivisor = 2
 
-// look asks what runs, beside the hold that waits for an end: at once, or while a task is alone, after a short wait at the upstream.
-func (k *Controller) callLook(now time.Time) {
-	if k.looking || !k.hasLife || !k.runsKnown {
+// callPoll makes a poll call: it asks what runs while a hold waits for the next end. The upstream answers at once or, while a task is
+// alone, after a short wait.
+func (u *Controller) callPoll(now time.Time) {
+	if u.polling || !u.hasLife || !u.runsKnown {
 		return
 	}
-	k.looking = true
-	c := call.Hold{Header: k.header(now), Seen: k.ackedUpTo(now), Poll: true}
-	if k.aloneRun != nil {
-		c.Wait = aloneLookWait
+	u.polling = true
+	c := call.Hold{Header: u.header(now), Seen: u.ackedUpTo(now), Poll: true}
+	if u.aloneRun != nil {
+		c.Wait = alonePollWait
 	}
-	k.caller.Hold(c)
+	u.caller.Hold(c)
 }
 
-// mustLapse tells whether the lease has to lapse: the stop of an unwanted run has gone unanswered for too long, or an
-// end must count for nothing.
-func (k *Controller) mustLetLeaseLapse(now time.Time) bool {
-	if k.ends.HasVoid() {
+// mustLetLeaseLapse reports whether the lease must not be extended: the stop of an unwanted run has gone unanswered for too long, or an
+// end was made void.
+func (u *Controller) mustLetLeaseLapse(now time.Time) bool {
+	if u.ends.HasVoid() {
 		return true
 	}
-	if k.without.Has(rule.LapseBudget) {
+	if u.without.Has(rule.LapseBudget) {
 		return false
 	}
-	for _, r := range k.runs {
+	for _, r := range u.runs {
 		acked := r.stop != nil && !r.stop.ackedAt.IsZero()
-		if !acked && k.unwantedFor(now, r) >= k.timing.StopBudget {
+		if !acked && u.unwantedFor(now, r) >= u.timing.StopBudget {
 			return true
 		}
 	}
 	return false
 }
 
-// unwantedFor is for how long nobody has wanted a run. One of an entry that was not heard again is unwanted since the entry's silence was
-// over, also when time passes late here and its stop was not made yet.
-func (k *Controller) unwantedFor(now time.Time, r *run) time.Duration {
+// unwantedFor returns how long the run has been unwanted. A run of a silent entry is unwanted from the entry's silence deadline on, also
+// if a late tick has not yet begun to stop it.
+func (u *Controller) unwantedFor(now time.Time, r *run) time.Duration {
 	switch {
 	case r.stop != nil && r.stop.unwanted:
 		return now.Sub(r.stop.urgentSince)
-	case k.without.Has(rule.StopSilent):
+	case u.without.Has(rule.StopSilent):
 		return 0
 	}
-	return now.Sub(k.silenceDeadline(k.sessions[r.owner]))
+	return now.Sub(u.silenceDeadline(u.sessions[r.owner]))
 }
 
-// HoldDone handles the answer to a Hold.
-func (k *Controller) HoldDone(now time.Time, c call.Hold, h call.HoldResult) {
-	if asked := k.lives.FindClaim(c.Life()); asked != nil {
-		k.handleClaimAnswer(now, asked, c.Header, h)
+// HoldDone handles the answer to a hold, a poll, or the query of a claim.
+func (u *Controller) HoldDone(now time.Time, c call.Hold, h call.HoldResult) {
+	if claim := u.lives.FindClaim(c.Life()); claim != nil {
+		u.handleClaimAnswer(now, claim, c.Header, h)
 		return
 	}
-	if c.Life() != k.life || !k.hasLife || c.Token < k.minToken {
+	if c.Life() != u.life || !u.hasLife || c.Token < u.minToken {
 		return
 	}
-	if h.Answer == call.OK && k.isOtherLife(h.Born) {
-		k.adoptLife(now, ident.UpstreamLife{ID: k.life.ID, Born: h.Born}, h.Clock)
+	if h.Answer == call.OK && u.isOtherLife(h.Born) {
+		u.adoptLife(now, ident.UpstreamLife{ID: u.life.ID, Born: h.Born}, h.Clock)
 		return
 	}
 	if h.Answer == call.OK {
-		k.recordAnswer(now, c.Sent, c.Wait)
+		u.recordAnswer(now, c.Sent, c.Wait)
 	}
 	if c.Poll {
-		k.handleLook(now, c, h)
+		u.handlePoll(now, c, h)
 		return
 	}
-	k.holding = false
+	u.holding = false
 	switch h.Answer {
 	case call.OK:
-		k.handleHoldAnswer(now, c, h)
+		u.handleHoldAnswer(now, c, h)
 	case call.WrongInstance:
-		k.endLife(now)
-		k.markAllDirty()
+		u.endLife(now)
+		u.markAllDirty()
 	case call.Fenced:
-		k.lease.RaiseTokenAbove(now, c.Token)
-		k.callHold(now)
+		u.lease.RaiseTokenAbove(now, c.Token)
+		u.callHold(now)
 	default:
-		k.handleHoldFailure(now)
+		u.handleHoldFailure(now)
 	}
 }
 
-// holdAnswered takes in the answer to a hold that was done, and makes the next one.
-func (k *Controller) handleHoldAnswer(now time.Time, c call.Hold, h call.HoldResult) {
-	k.lease.RecordClock(now, h.Clock)
-	news := k.applyListing(now, c, h)
-	if !news && (k.ends.Len() > 0 || now.Before(k.noAckUntil)) && now.Sub(c.Sent) < c.Wait/2 {
-		// The upstream answers at once while it remembers ends.
-		k.nextHoldAt = now.Add(immediateAnswerPause)
+// handleHoldAnswer applies the answer to a hold that was carried out, and makes the next hold.
+func (u *Controller) handleHoldAnswer(now time.Time, c call.Hold, h call.HoldResult) {
+	u.lease.RecordClock(now, h.Clock)
+	hasNewEnd := u.applyListing(now, c, h)
+	if !hasNewEnd && (u.ends.Len() > 0 || now.Before(u.noAckUntil)) && now.Sub(c.Sent) < c.Wait/2 {
+		// While the upstream remembers ends, it answers without a wait.
+		u.nextHoldAt = now.Add(immediateAnswerPause)
 		return
 	}
-	k.callHold(now)
+	u.callHold(now)
 }
 
-// holdFailed handles a hold without a usable answer.
-func (k *Controller) handleHoldFailure(now time.Time) {
-	k.failedHolds++
-	if k.failedHolds < unreachableAfter {
-		k.callHold(now)
+// handleHoldFailure handles a hold without a usable answer.
+func (u *Controller) handleHoldFailure(now time.Time) {
+	u.failedHolds++
+	if u.failedHolds < unreachableAfter {
+		u.callHold(now)
 		return
 	}
-	k.nextHoldAt = now.Add(retryPause(k.silentFor(now)))
-	k.markAllDirty()
+	u.nextHoldAt = now.Add(retryPause(u.silentFor(now)))
+	u.markAllDirty()
 }
 
-// withheldPause is the pause between holds that are answered at once: as long as a tick at the most, which ends it.
+// immediateAnswerPause is the pause after a hold that was answered without a wait. It is no longer than a tick; a tick makes the next
+// hold.
 const immediateAnswerPause = 10 * time.Millisecond
 
-// unreachableAfter is how many holds in a row must go unanswered for the upstream to count as unreachable. Single
-// answers get lost now and then; the first repeat still extends the lease.
+// unreachableAfter is the number of consecutive unanswered holds after which the upstream counts as unreachable. Single answers get lost
+// now and then; the first repeat still extends the lease.
 const unreachableAfter = 2
 
-// lookDone handles the answer to a look. One without an answer is repeated while it is needed, after a pause: an upstream that resets
-// every connection answers at once, and would be asked a thousand times a second.
-func (k *Controller) handleLook(now time.Time, c call.Hold, h call.HoldResult) {
-	k.looking = false
+// handlePoll handles the answer to a poll. A poll without an answer is repeated after a pause while it is needed: an upstream that resets
+// every connection fails calls at once, and would otherwise be called a thousand times a second.
+func (u *Controller) handlePoll(now time.Time, c call.Hold, h call.HoldResult) {
+	u.polling = false
 	if h.Answer != call.OK {
-		k.nextLookAt = now.Add(retryPause(k.silentFor(now)))
+		u.nextPollAt = now.Add(retryPause(u.silentFor(now)))
 		return
 	}
-	k.lease.RecordClock(now, h.Clock)
-	k.applyListing(now, c, h)
-	// An upstream that remembers ends answers at once; then the next tick looks again.
-	if k.hasUnsureRun() || k.aloneRun != nil && now.Sub(c.Sent) >= c.Wait/2 {
-		k.callLook(now)
+	u.lease.RecordClock(now, h.Clock)
+	u.applyListing(now, c, h)
+	// While the upstream remembers ends, it answers without a wait; the next tick then makes the next poll.
+	if u.hasUnsureRun() || u.aloneRun != nil && now.Sub(c.Sent) >= c.Wait/2 {
+		u.callPoll(now)
 	}
 }
 
-// undecided tells whether some run's fate depends on the next answer.
-func (k *Controller) hasUnsureRun() bool {
-	for _, r := range k.runs {
+// hasUnsureRun reports whether there is a run of which it is unknown whether the upstream has started it.
+func (u *Controller) hasUnsureRun() bool {
+	for _, r := range u.runs {
 		if r.phase == unsure {
 			return true
 		}
@@ -209,15 +212,15 @@
 	return false
 }
 
-// seen is the number up to which the upstream may forget ends.
-func (k *Controller) ackedUpTo(now time.Time) uint64 {
-	if now.Before(k.noAckUntil) || k.mayHaveRestarted(now) {
+// ackedUpTo returns the number up to which the upstream may forget ends.
+func (u *Controller) ackedUpTo(now time.Time) uint64 {
+	if now.Before(u.noAckUntil) || u.mayHaveRestarted(now) {
 		return 0
 	}
-	return k.ends.AckedUpTo()
+	return u.ends.AckedUpTo()
 }
 
-// due tells whether a stop is to be sent again.
+// isDue reports whether the stop call is to be repeated now.
 func (s *stopState) isDue(now time.Time) bool {
 	pause := stopRetry
 	if !s.ackedAt.IsZero() {
@@ -226,53 +229,53 @@
 	return !s.inFlight && now.Sub(s.sentAt) >= pause
 }
 
-// Tick does what time alone brings about.
-func (k *Controller) Tick(now time.Time) {
-	for _, s := range k.sessionOrder {
-		if (s.hasEchoed || !s.linked) && !k.isHeardRecently(now, s) {
-			k.stopOrphans(now, s.entry, "silent")
+// Tick does everything that is due because time has passed.
+func (u *Controller) Tick(now time.Time) {
+	for _, s := range u.sessionOrder {
+		if (s.hasEchoed || !s.linked) && !u.isHeardRecently(now, s) {
+			u.stopOrphans(now, s.entry, "silent")
 		}
 	}
-	k.updateCold(now)
-	k.reviewPace(now)
-	k.watchAlone(now)
-	if k.hasLife && !k.holding && !now.Before(k.nextHoldAt) {
-		k.callHold(now)
+	u.updateCold(now)
+	u.reviewPace(now)
+	u.watchAlone(now)
+	if u.hasLife && !u.holding && !now.Before(u.nextHoldAt) {
+		u.callHold(now)
 	}
-	if k.hasUnsureRun() && !now.Before(k.nextLookAt) {
-		k.callLook(now)
+	if u.hasUnsureRun() && !now.Before(u.nextPollAt) {
+		u.callPoll(now)
 	}
-	if k.failedHolds >= unreachableAfter && len(k.runs) > 0 && k.lease.Lapsed(now) {
-		k.observer.LeaseLapsed(k.lease.LapsedFor(now))
-		k.lease.RaiseToken(now)
-		k.loseAllRuns(now, fleet.LeaseLapsed)
+	if u.failedHolds >= unreachableAfter && len(u.runs) > 0 && u.lease.Lapsed(now) {
+		u.observer.LeaseLapsed(u.lease.LapsedFor(now))
+		u.lease.RaiseToken(now)
+		u.loseAllRuns(now, fleet.LeaseLapsed)
 	}
-	for _, r := range k.sortedRuns() {
+	for _, r := range u.sortedRuns() {
 		if r.stop != nil && r.stop.isDue(now) {
-			k.callStop(now, r)
+			u.callStop(now, r)
 		}
 	}
-	for _, key := range k.strayKeys() {
-		if k.strays[key].IsZero() && k.hasLife {
-			// The stop before it got no answer yet or none at all; a second one does no harm.
-			k.caller.Stop(call.Stop{Header: k.header(now), Task: key.Task, Run: key.Run})
+	for _, key := range u.strayKeys() {
+		if u.strays[key].IsZero() && u.hasLife {
+			// The former stop call has no answer, or none yet. Another one does no harm.
+			u.caller.Stop(call.Stop{Header: u.header(now), Task: key.Task, Run: key.Run})
 		}
 	}
-	if k.saidEnded && k.failedHolds >= unreachableAfter && len(k.runs) == 0 {
-		k.hasLife, k.runsKnown = false, false // if it lives after all, its next heartbeat says so
-		k.markAllDirty()
+	if u.saidEnded && u.failedHolds >= unreachableAfter && len(u.runs) == 0 {
+		u.hasLife, u.runsKnown = false, false // if it is still alive, its next heartbeat says so
+		u.markAllDirty()
 	}
-	k.requeryClaims(now)
-	k.ends.VoidOld(now)
-	again, to := k.ends.DueForResend(now, k.linkedEntries())
-	for i, w := range again {
-		k.entries.End(to[i], w.End)
+	u.requeryClaims(now)
+	u.ends.VoidOld(now)
+	due, to := u.ends.DueForResend(now, u.linkedEntries())
+	for i, w := range due {
+		u.entries.End(to[i], w.End)
 	}
-	if k.ends.HasVoid() && k.lease.Lapsed(now) {
-		k.observer.LeaseLapsed(k.lease.LapsedFor(now))
-		k.ends.DropVoid()
-		k.markAllDirty()
+	if u.ends.HasVoid() && u.lease.Lapsed(now) {
+		u.observer.LeaseLapsed(u.lease.LapsedFor(now))
+		u.ends.DropVoid()
+		u.markAllDirty()
 	}
-	k.forgetSessions(now)
-	k.owners.Expire(now)
+	u.forgetSessions(now)
+	u.owners.Expire(now)
 }
--- a/internal/agent/upstream/idle.go
+++ b/internal/agent/upstream/idle.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// paceLasts is for how long the pace of an upstream counts after its last run. It may have recovered, and no run would tell, since
-// work goes to faster ones while they have room; one that is still slow is tried this often.
+// idlePaceTTL is how long the pace of an upstream stays valid after its last run. The upstream may have recovered since, but no run would
+// show it, because work goes to faster upstreams while these have room. An upstream that is still slow is tried at this interval.
 const idlePaceTTL = 5 * time.Second
 
-// reviewPace forgets the pace of an upstream that has had nothing to do for a while: entries rate it like most others then, and its
-// next run tells. They hear of it with the next keep-alive.
-func (k *Controller) reviewPace(now time.Time) {
-	if len(k.runs) == 0 && now.Sub(k.idleSince) >= idlePaceTTL {
-		k.health.ForgetPace()
+// reviewPace discards the pace of an upstream that has been idle for idlePaceTTL. Entries then rate it like most others, until its next
+// run shows the pace. They learn of that with the next keep-alive.
+func (u *Controller) reviewPace(now time.Time) {
+	if len(u.runs) == 0 && now.Sub(u.idleSince) >= idlePaceTTL {
+		u.health.ForgetPace()
 	}
 }
--- a/internal/agent/upstream/kept.go
+++ b/internal/agent/upstream/kept.go
@@ -10,7 +10,7 @@
 	"hillreel/internal/core/rule"
 )
 
-// question is an entry's question for the ends of jobs that it has taken over.
+// endsQuery is an entry's query for the ends of jobs that it has taken over.
 type endsQuery struct {
 	entry  ident.Incarnation
 	epoch  uint64
@@ -18,13 +18,13 @@
 	jobs   map[job.ID]bool
 }
 
-// Noted handles an entry's word on ends of kept jobs: they are stored, or they count for nothing.
-func (k *Controller) ResolveEnds(runs []fleet.RunRef, void bool) { k.ends.Resolve(runs, void) }
+// ResolveEnds handles an entry's message on ends of kept jobs: they are stored or, if void is true, must count for nothing.
+func (u *Controller) ResolveEnds(runs []fleet.RunRef, void bool) { u.ends.Resolve(runs, void) }
 
-// Ask handles an entry that has taken jobs over: what still runs of them for others is stopped, and once nothing does,
-// the entry is told of all ends that are withheld.
-func (k *Controller) QueryEnds(now time.Time, entry ident.Incarnation, number uint64, jobs []job.ID) {
-	s := k.sessions[entry]
+// QueryEnds handles the query of an entry that has taken jobs over. Runs of these jobs that belong to other entries are stopped. Once
+// none of them remains, the entry is sent all withheld ends of the jobs.
+func (u *Controller) QueryEnds(now time.Time, entry ident.Incarnation, number uint64, jobs []job.ID) {
+	s := u.sessions[entry]
 	if s == nil || !s.linked {
 		return
 	}
@@ -32,49 +32,49 @@
 	for _, j := range jobs {
 		q.jobs[j] = true
 	}
-	k.dropAlone(fleet.Superseded, func(w *pendingOrder) bool { return q.jobs[w.order.Job] && w.owner != entry })
-	for _, r := range k.sortedRuns() {
+	u.dropAlone(fleet.Superseded, func(p *pendingOrder) bool { return q.jobs[p.order.Job] && p.owner != entry })
+	for _, r := range u.sortedRuns() {
 		if !q.jobs[r.task.Job] {
 			continue
 		}
 		if r.successor != nil && r.successor.owner != entry {
-			k.refuse(*r.successor, fleet.Superseded)
+			u.refuse(*r.successor, fleet.Superseded)
 			r.successor = nil
 		}
 		if r.owner != entry {
-			k.stopRun(now, r, stopState{outcome: job.Stopped, reason: fleet.Superseded, cause: TakenOver, unwanted: true})
+			u.stopRun(now, r, stopState{outcome: job.Stopped, reason: fleet.Superseded, cause: TakenOver, unwanted: true})
 		}
 	}
-	k.endsQueries = append(k.endsQueries, q)
+	u.endsQueries = append(u.endsQueries, q)
 }
 
-// answerQuestions answers the entries whose jobs have nothing running here any more.
-func (k *Controller) answerEndsQueries() {
+// answerEndsQueries answers the queries for whose jobs nothing runs here any more.
+func (u *Controller) answerEndsQueries() {
 	var rest []endsQuery
-	for _, q := range k.endsQueries {
-		s := k.sessions[q.entry]
+	for _, q := range u.endsQueries {
+		s := u.sessions[q.entry]
 		switch {
 		case s == nil || !s.linked || s.epoch != q.epoch:
-		case !k.runsKnown || k.isQueryBlocked(q):
+		case !u.runsKnown || u.isQueryBlocked(q):
 			rest = append(rest, q)
 		default:
-			for _, w := range k.ends.Reassign(q.jobs, q.entry) {
-				k.sendEnd(q.entry, w.End)
+			for _, w := range u.ends.Reassign(q.jobs, q.entry) {
+				u.sendEnd(q.entry, w.End)
 			}
-			k.entries.EndsSent(q.entry, q.number)
+			u.entries.EndsSent(q.entry, q.number)
 		}
 	}
-	k.endsQueries = rest
+	u.endsQueries = rest
 }
 
-// runsFor tells whether a run of a question's jobs is, or may be, here for somebody else.
-func (k *Controller) isQueryBlocked(q endsQuery) bool {
-	for _, r := range k.runs {
+// isQueryBlocked reports whether a run of the queried jobs is, or may be, here for another entry.
+func (u *Controller) isQueryBlocked(q endsQuery) bool {
+	for _, r := range u.runs {
 		if q.jobs[r.task.Job] && r.owner != q.entry {
 			return true
 		}
 	}
-	for key := range k.strays {
+	for key := range u.strays {
 		if q.jobs[key.Task.Job] {
 			return true
 		}
@@ -82,28 +82,28 @@
 	return false
 }
 
-// endedLate handles the listed end of a kept job's run that was given up: its task may have been placed again, so the end
-// must count for nothing.
-func (k *Controller) withholdLateEnd(now time.Time, f call.Finished) {
-	if f.Result != call.ResultDone && f.Result != call.ResultFailed || k.without.Has(rule.WithholdEnds) {
+// withholdLateEnd handles the listed end of a kept job's run that was given up before: its task may have been placed again, so that the
+// end must count for nothing.
+func (u *Controller) withholdLateEnd(now time.Time, f call.Finished) {
+	if f.Result != call.ResultDone && f.Result != call.ResultFailed || u.without.Has(rule.WithholdEnds) {
 		return
 	}
-	k.ends.Withhold(now, 0, fleet.End{Task: f.Task, Run: f.Run, Outcome: job.Lost, Kept: true}).Void()
+	u.ends.Withhold(now, 0, fleet.End{Task: f.Task, Run: f.Run, Outcome: job.Lost, Kept: true}).Void()
 }
 
-// hasEnded tells whether an ordered task of a kept job has ended well here already, for an entry that has gone; then the
-// order is answered with that end. If the task may have started elsewhere since, the end is void instead.
-func (k *Controller) answerFromWithheldEnd(w pendingOrder) bool {
-	ended := k.ends.FindDone(w.order.Task(w.index))
+// answerFromWithheldEnd reports whether the ordered task of a kept job has already ended well here, under an earlier order. If so, it
+// answers the order with that end. If the task may have been started elsewhere since, it makes the end void instead.
+func (u *Controller) answerFromWithheldEnd(p pendingOrder) bool {
+	ended := u.ends.FindDone(p.order.Task(p.index))
 	if ended == nil {
 		return false
 	}
-	ordered := w.ordered()
+	ordered := p.ordered()
 	if !ordered.Run.Follows(ended.End.Run) {
 		ended.Void()
 		return false
 	}
-	ended.Owner, ended.End.Run, ended.End.ID = w.owner, ordered.Run, ordered.ID
-	k.sendEnd(w.owner, ended.End)
+	ended.Owner, ended.End.Run, ended.End.ID = p.owner, ordered.Run, ordered.ID
+	u.sendEnd(p.owner, ended.End)
 	return true
 }
--- a/internal/agent/upstream/lease_test.go
+++ b/internal/agent/upstream/lease_test.go
@@ -12,30 +12,30 @@
 	"hillreel/internal/core/rule"
 )
 
-// TestUnansweredHoldsLetTheLeaseLapse: while the upstream does not answer, holds leave the lease as it is; once it
-// has surely lapsed, the runs are given up, so that they can run elsewhere. Holds that went on extending it put
-// that off for as long as the upstream was mute.
+// TestUnansweredHoldsLetTheLeaseLapse: while the upstream doesn't answer, holds leave the lease as it is. Once it has certainly lapsed,
+// the runs are given up, so that they can be started elsewhere. Holds that went on extending the lease put that off for as long as the
+// upstream didn't answer.
 func TestUnansweredHoldsLetTheLeaseLapse(t *testing.T) {
-	b := newHarness(t, nil)
-	b.order(one, 1)
-	b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
+	h := newHarness(t, nil)
+	h.order(one, 1)
+	h.controller.StartDone(h.now, h.starts[0], call.OK, 0)
 	var took time.Duration
-	for took = 0; b.manager.RunCount() > 0 && took < 3*time.Second; took += 10 * time.Millisecond {
-		b.pass(10 * time.Millisecond)
-		b.manager.Ping(b.now, one, b.rooms[one].Clock, 0)
-		if c := b.holds[len(b.holds)-1]; b.now.Sub(c.Sent) >= 250*time.Millisecond {
-			b.manager.HoldDone(b.now, c, call.HoldResult{Answer: call.Unanswered})
+	for took = 0; h.controller.RunCount() > 0 && took < 3*time.Second; took += 10 * time.Millisecond {
+		h.pass(10 * time.Millisecond)
+		h.controller.Ping(h.now, one, h.rooms[one].Clock, 0)
+		if c := h.holds[len(h.holds)-1]; h.now.Sub(c.Sent) >= 250*time.Millisecond {
+			h.controller.HoldDone(h.now, c, call.HoldResult{Answer: call.Unanswered})
 		}
-		b.manager.Tick(b.now)
-		b.manager.Flush(b.now)
+		h.controller.Tick(h.now)
+		h.controller.Flush(h.now)
 	}
 	qt.Assert(t, took < time.Second, qt.IsTrue, qt.Commentf("took %v", took))
-	qt.Assert(t, b.ends[one][0].Outcome, qt.Equals, job.Lost)
-	qt.Assert(t, b.ends[one][0].Reason, qt.Equals, fleet.LeaseLapsed)
+	qt.Assert(t, h.ends[one][0].Outcome, qt.Equals, job.Lost)
+	qt.Assert(t, h.ends[one][0].Reason, qt.Equals, fleet.LeaseLapsed)
 }
 
-// TestOldReadingsKeepNothing: what an entry echoes counts from when the agent sent it, and an order of an entry that
-// was not heard lately starts nothing. The random schedules reach this only with slow links, so it stands here.
+// TestOldClockEchoesKeepNoRuns: the reading that an entry echoes counts from the time when the agent sent it, and an order of an entry
+// that was not heard recently starts nothing. The randomised schedules reach this only with slow links, so it has a test of its own.
 func TestOldClockEchoesKeepNoRuns(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -47,110 +47,110 @@
 		{"orders of silent entries taken", rule.Without(rule.FreshSession), 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, test.without)
-			old := b.rooms[one].Clock
-			b.pass(timing.Silence + timing.KeepAlive)
-			b.manager.Flush(b.now)
-			b.manager.Ping(b.now, one, old+time.Microsecond, 0)
-			b.order(one, 1)
-			qt.Assert(t, b.starts, qt.HasLen, test.starts)
+			h := newHarness(t, test.without)
+			old := h.rooms[one].Clock
+			h.pass(timing.Silence + timing.KeepAlive)
+			h.controller.Flush(h.now)
+			h.controller.Ping(h.now, one, old+time.Microsecond, 0)
+			h.order(one, 1)
+			qt.Assert(t, h.starts, qt.HasLen, test.starts)
 		})
 	}
 }
 
-// TestLeasesLapseWhenAStopFails: an unwanted run whose stop gets no answer is there no longer than the lease after
-// the budget: holds stop extending it. A caller that has gone sends its job to another entry, as one whose entry is
-// lost does; the run of such a job went on for as long as stops were lost (schedule 1077).
+// TestLeasesLapseWhenAStopFails: when the stop of an unwanted run gets no answer, the run ends at the latest one lease after the stop
+// budget, because holds no longer extend the lease. A caller that is gone sends its job to another entry, like a caller whose entry is
+// lost. The run of such a job went on for as long as stops were lost (schedule 1077).
 func TestLeasesLapseWhenAStopFails(t *testing.T) {
-	lost := func(b *harness) {
-		b.manager.EntryUnlinked(b.now, one, "broken")
-		b.manager.EntryGone(b.now, one, "refused")
+	lost := func(h *harness) {
+		h.controller.EntryUnlinked(h.now, one, "broken")
+		h.controller.EntryGone(h.now, one, "refused")
 	}
-	asked := func(b *harness) { b.manager.StopTask(b.now, one, ordered(1), fleet.OnRequest) }
+	asked := func(h *harness) { h.controller.StopTask(h.now, one, ordered(1), fleet.OnRequest) }
 	for _, test := range []struct {
 		name    string
 		without rule.Set
-		stop    func(b *harness)
+		stop    func(h *harness)
 		answer  bool
 		extends bool
 	}{
 		{"entry lost", nil, lost, false, false},
 		{"caller gone", nil, asked, false, false},
 		{"the stop was answered", nil, asked, true, true},
-		{"left out", rule.Without(rule.LapseBudget), lost, false, true},
+		{"rule left out", rule.Without(rule.LapseBudget), lost, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, test.without)
-			b.order(one, 1)
-			b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
-			test.stop(b)
+			h := newHarness(t, test.without)
+			h.order(one, 1)
+			h.controller.StartDone(h.now, h.starts[0], call.OK, 0)
+			test.stop(h)
 			if test.answer {
-				b.manager.StopDone(b.now, b.stops[0], call.OK, 0)
+				h.controller.StopDone(h.now, h.stops[0], call.OK, 0)
 			}
-			b.pass(timing.StopBudget)
-			b.manager.Tick(b.now)
-			b.answerHolds(call.Running{Task: task, Run: 1, Percent: 50})
-			qt.Assert(t, b.holds[len(b.holds)-1].LeaseUntil > 0, qt.Equals, test.extends)
+			h.pass(timing.StopBudget)
+			h.controller.Tick(h.now)
+			h.answerHolds(call.Running{Task: task, Run: 1, Percent: 50})
+			qt.Assert(t, h.holds[len(h.holds)-1].LeaseUntil > 0, qt.Equals, test.extends)
 		})
 	}
 }
 
-// TestRunsEndInTimeThoughTicksAreLate guards against runs that outlive the time after which an entry takes them for gone: its agent, which
-// got too little of a core, noticed only late that the entry had fallen silent, and counted the budget of the stops from there.
+// TestRunsEndInTimeThoughTicksAreLate guards against runs that outlive the time after which an entry counts them as ended. The agent got
+// too little CPU time, noticed late that the entry was silent, and counted the stop budget from the late tick on.
 func TestRunsEndInTimeThoughTicksAreLate(t *testing.T) {
 	const step = 10 * time.Millisecond
 	for _, test := range []struct {
 		name string
-		// every is the pause between two ticks; in between the upstream's answers are taken in.
+		// every is the pause between two ticks; the upstream's answers are handled in between.
 		every time.Duration
-		// setOut lets something happen to the run at once.
-		setOut func(b *harness)
+		// setOut does something to the run at the beginning.
+		setOut func(h *harness)
 	}{
 		{"in time", 20 * time.Millisecond, func(*harness) {}},
-		{"a slice late", 90 * time.Millisecond, func(*harness) {}},
-		{"as late as is no standstill", timing.Silence / 2, func(*harness) {}},
+		{"a time slice late", 90 * time.Millisecond, func(*harness) {}},
+		{"as late as possible without a standstill", timing.Silence / 2, func(*harness) {}},
 		{"later than the budget", 3 * timing.StopBudget / 2, func(*harness) {}},
-		{"none", time.Hour, func(*harness) {}},
-		{"late, and the run was to move", timing.Silence / 2, func(b *harness) { b.manager.StopTask(b.now, one, ordered(1), fleet.Moved) }},
-		{"late, and the link broke", timing.Silence / 2, func(b *harness) { b.manager.EntryUnlinked(b.now, one, "link_down") }},
+		{"no ticks", time.Hour, func(*harness) {}},
+		{"late, and the run was to move", timing.Silence / 2, func(h *harness) { h.controller.StopTask(h.now, one, ordered(1), fleet.Moved) }},
+		{"late, and the link broke", timing.Silence / 2, func(h *harness) { h.controller.EntryUnlinked(h.now, one, "link_down") }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			// Each offset of the ticks, since only some of them are late.
+			// Try each offset of the ticks, since only some of them are late.
 			for offset := time.Duration(0); offset < min(test.every, timing.Silence); offset += step {
-				b := newHarness(t, nil)
-				heard := b.clock()
-				b.order(one, 1)
-				b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
-				test.setOut(b)
+				h := newHarness(t, nil)
+				heard := h.clock()
+				h.order(one, 1)
+				h.controller.StartDone(h.now, h.starts[0], call.OK, h.clock())
+				test.setOut(h)
 				for passed := step; passed < 2*time.Second; passed += step {
-					b.pass(step)
-					b.manager.Ping(b.now, two, b.rooms[two].Clock, 0)
+					h.pass(step)
+					h.controller.Ping(h.now, two, h.rooms[two].Clock, 0)
 					if passed%test.every == offset {
-						b.manager.Tick(b.now)
+						h.controller.Tick(h.now)
 					}
-					b.answerHolds(call.Running{Task: task, Run: 1, Percent: 50})
-					b.manager.Flush(b.now)
+					h.answerHolds(call.Running{Task: task, Run: 1, Percent: 50})
+					h.controller.Flush(h.now)
 				}
 				latest := call.Clock(0)
-				for _, c := range b.holds {
+				for _, c := range h.holds {
 					latest = max(latest, c.LeaseUntil)
 				}
 				bound := timing.Silence + timing.StopBudget + timing.Lease
 				qt.Assert(t, time.Duration(latest-heard) <= bound, qt.IsTrue,
-					qt.Commentf("ticks from %v on: leased for %v after the entry was heard last", offset, time.Duration(latest-heard)))
+					qt.Commentf("ticks from %v on: leased for %v after the entry was last heard", offset, time.Duration(latest-heard)))
 			}
 		})
 	}
 }
 
-// TestFencedStartLeavesTheLease guards against runs that outlive the time after which an entry takes them for gone: a start of another
-// entry's task, which a newer token had overtaken, was sent again, and extended the lease of all while it had to lapse.
+// TestFencedStartLeavesTheLease guards against runs that outlive the time after which an entry counts them as ended. A start of another
+// entry's task was refused because of a newer token, was sent again, and extended the lease of all runs although the lease had to lapse.
 func TestFencedStartLeavesTheLease(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// passed is how long after the stop of the other run the start is refused.
+		// passed is the time from the stop of the other run to the refusal of the start.
 		passed time.Duration
-		// answered: the stop was.
+		// answered: the stop was answered.
 		answered bool
 		starts   int
 	}{
@@ -159,60 +159,61 @@
 		{"after it, and the stop was answered", timing.StopBudget + 10*time.Millisecond, true, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, nil)
-			b.order(one, 1)
-			b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
-			b.starts = nil
-			b.manager.StopTask(b.now, one, ordered(1), fleet.OnRequest)
-			b.orderBeside(two, 1)
-			qt.Assert(t, b.starts, qt.HasLen, 1)
+			h := newHarness(t, nil)
+			h.order(one, 1)
+			h.controller.StartDone(h.now, h.starts[0], call.OK, h.clock())
+			h.starts = nil
+			h.controller.StopTask(h.now, one, ordered(1), fleet.OnRequest)
+			h.orderBeside(two, 1)
+			qt.Assert(t, h.starts, qt.HasLen, 1)
 			if test.answered {
-				b.manager.StopDone(b.now, b.stops[0], call.OK, b.clock())
+				h.controller.StopDone(h.now, h.stops[0], call.OK, h.clock())
 			}
-			b.pass(test.passed)
-			b.manager.StartDone(b.now, b.starts[0], call.Fenced, 0)
-			qt.Assert(t, b.starts, qt.HasLen, test.starts)
+			h.pass(test.passed)
+			h.controller.StartDone(h.now, h.starts[0], call.Fenced, 0)
+			qt.Assert(t, h.starts, qt.HasLen, test.starts)
 			if test.starts > 1 {
 				return
 			}
-			qt.Assert(t, b.ends[two], qt.HasLen, 1)
-			qt.Assert(t, b.ends[two][0].Outcome, qt.Equals, job.NotStarted)
-			qt.Assert(t, b.ends[two][0].Reason, qt.Equals, fleet.NotAccepting)
+			qt.Assert(t, h.ends[two], qt.HasLen, 1)
+			qt.Assert(t, h.ends[two][0].Outcome, qt.Equals, job.NotStarted)
+			qt.Assert(t, h.ends[two][0].Reason, qt.Equals, fleet.NotAccepting)
 		})
 	}
 }
 
-// TestLinkThatIsResetCostsNoRun: an entry that is back within the silence goes on with its runs; one that is not, or
-// that has surely ended, has them stopped. Incident inc-941c: links that were reset cost all runs on them.
+// TestLinkThatIsResetCostsNoRun: an entry that links again before its silence deadline keeps its runs. The runs of an entry that doesn't,
+// or that has certainly ended, are stopped. In incident inc-941c, links that were reset cost all runs of their entries.
 func TestLinkThatIsResetCostsNoRun(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		then    func(b *harness)
+		then    func(h *harness)
 		stops   int
 		resumes int
 	}{
-		{"back soon", func(b *harness) { b.pass(100 * time.Millisecond) }, 0, 1},
-		{"back late", func(b *harness) { b.pass(timing.Silence); b.manager.Tick(b.now) }, 1, 0},
-		{"back late, and no tick since", func(b *harness) { b.pass(timing.Silence) }, 1, 0},
-		{"ended", func(b *harness) { b.manager.EntryGone(b.now, one, "refused") }, 1, 0},
+		{"back soon", func(h *harness) { h.pass(100 * time.Millisecond) }, 0, 1},
+		{"back late", func(h *harness) { h.pass(timing.Silence); h.controller.Tick(h.now) }, 1, 0},
+		{"back late, and no tick since", func(h *harness) { h.pass(timing.Silence) }, 1, 0},
+		{"ended", func(h *harness) { h.controller.EntryGone(h.now, one, "refused") }, 1, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, nil)
-			b.order(one, 1)
-			b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
-			b.manager.EntryUnlinked(b.now, one, "link_down")
-			qt.Assert(t, b.stops, qt.HasLen, 0)
-			test.then(b)
-			b.manager.EntryLinked(b.now, one)
-			qt.Assert(t, b.resumed, qt.HasLen, test.resumes)
-			b.manager.Tick(b.now)
-			qt.Assert(t, b.stops, qt.HasLen, test.stops)
+			h := newHarness(t, nil)
+			h.order(one, 1)
+			h.controller.StartDone(h.now, h.starts[0], call.OK, 0)
+			h.controller.EntryUnlinked(h.now, one, "link_down")
+			qt.Assert(t, h.stops, qt.HasLen, 0)
+			test.then(h)
+			h.controller.EntryLinked(h.now, one)
+			qt.Assert(t, h.resumed, qt.HasLen, test.resumes)
+			h.controller.Tick(h.now)
+			qt.Assert(t, h.stops, qt.HasLen, test.stops)
 		})
 	}
 }
 
-// TestFencedStartExtendsNoLeaseThatMustLapse guards against runs of a lost entry or a gone caller that outlive their bound: a start that a
-// newer token has overtaken is not sent again, with a longer lease for all, once the stop of an unwanted run has failed.
+// TestFencedStartExtendsNoLeaseThatMustLapse guards against runs of a lost entry or a gone caller that outlive their bound: once the stop
+// of an unwanted run has failed, a start that was refused because of a newer token must not be sent again, since it would extend the
+// lease of all runs.
 func TestFencedStartExtendsNoLeaseThatMustLapse(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -223,21 +224,21 @@
 		{"the lease must lapse", timing.StopBudget, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, nil)
-			b.order(one, 1)
-			b.manager.StartDone(b.now, b.starts[0], call.OK, 0)
-			b.manager.StopTask(b.now, one, ordered(1), fleet.OnRequest)
-			b.pass(timing.StopBudget/2 - time.Millisecond)
-			b.answerHolds(call.Running{Task: task, Run: 1, Percent: 50})
-			b.orderBeside(two, 1)
-			qt.Assert(t, b.starts, qt.HasLen, 2)
-			b.pass(test.waited - timing.StopBudget/2 + time.Millisecond)
-			b.manager.StartDone(b.now, b.starts[1], call.Fenced, 0)
-			qt.Assert(t, b.starts, qt.HasLen, test.starts)
+			h := newHarness(t, nil)
+			h.order(one, 1)
+			h.controller.StartDone(h.now, h.starts[0], call.OK, 0)
+			h.controller.StopTask(h.now, one, ordered(1), fleet.OnRequest)
+			h.pass(timing.StopBudget/2 - time.Millisecond)
+			h.answerHolds(call.Running{Task: task, Run: 1, Percent: 50})
+			h.orderBeside(two, 1)
+			qt.Assert(t, h.starts, qt.HasLen, 2)
+			h.pass(test.waited - timing.StopBudget/2 + time.Millisecond)
+			h.controller.StartDone(h.now, h.starts[1], call.Fenced, 0)
+			qt.Assert(t, h.starts, qt.HasLen, test.starts)
 			if test.starts == 2 {
-				qt.Assert(t, b.ends[two], qt.HasLen, 1)
-				qt.Assert(t, b.ends[two][0].Outcome, qt.Equals, job.NotStarted)
-				qt.Assert(t, b.ends[two][0].Reason, qt.Equals, fleet.NotAccepting)
+				qt.Assert(t, h.ends[two], qt.HasLen, 1)
+				qt.Assert(t, h.ends[two][0].Outcome, qt.Equals, job.NotStarted)
+				qt.Assert(t, h.ends[two][0].Reason, qt.Equals, fleet.NotAccepting)
 			}
 		})
 	}
--- a/internal/agent/upstream/life.go
+++ b/internal/agent/upstream/life.go
@@ -14,193 +14,193 @@
 	"hillreel/internal/core/rule"
 )
 
-// An upstream that starts again, perhaps under the id that it had, is another life: it runs nothing, and its heartbeats, its ends
-// and its clock are numbered anew. With the account of its former life, heartbeats would be dropped as overtaken, its leaving
-// unheard, and ends acknowledged before they are listed. So everything here belongs to one life, and which life stands there is
-// believed of the upstream's own answers only: heartbeats may be held up on the way.
+// A life is one incarnation of the upstream. An upstream that starts again, perhaps under the same id, is another life: it runs nothing,
+// and it numbers its heartbeats and ends and starts its clock anew. With the state of the former life, the agent would drop the
+// heartbeats of the new one as out of order, ignore that it drains, and acknowledge ends before they are listed. So all state here
+// belongs to one life. Only the upstream's own answers decide which life is present, because heartbeats may be delayed.
 
-// Beat handles a heartbeat.
-func (k *Controller) Heartbeat(now time.Time, b lives.Heartbeat) {
-	if k.without.Has(rule.LifeBorn) {
+// Heartbeat handles a heartbeat.
+func (u *Controller) Heartbeat(now time.Time, b lives.Heartbeat) {
+	if u.without.Has(rule.LifeBorn) {
 		b.Born = 0
 	}
 	life := b.Life()
 	switch {
-	case k.lives.HasEnded(life):
-	case !k.hasLife:
-		k.beginLife(now, life, &b, b.Clock, "heartbeat")
-		k.applyHeartbeat(now, b)
-	case life == k.life:
-		k.applyHeartbeat(now, b)
-	case k.without.Has(rule.ConfirmLife):
-		k.beginLife(now, life, &b, b.Clock, "heartbeat")
-		k.applyHeartbeat(now, b)
+	case u.lives.HasEnded(life):
+	case !u.hasLife:
+		u.beginLife(now, life, &b, b.Clock, "heartbeat")
+		u.applyHeartbeat(now, b)
+	case life == u.life:
+		u.applyHeartbeat(now, b)
+	case u.without.Has(rule.ConfirmLife):
+		u.beginLife(now, life, &b, b.Clock, "heartbeat")
+		u.applyHeartbeat(now, b)
 	default:
-		k.claimLife(now, b)
+		u.claimLife(now, b)
 	}
 }
 
-// describe takes in a heartbeat of the present life.
-func (k *Controller) applyHeartbeat(now time.Time, b lives.Heartbeat) {
+// applyHeartbeat applies a heartbeat of the present life.
+func (u *Controller) applyHeartbeat(now time.Time, b lives.Heartbeat) {
 	if b.Draining {
-		// A life that leaves does not come back to work, so that this holds in whatever order heartbeats arrive.
-		k.draining = true
-		k.markAllDirty()
+		// A life that drains never accepts work again, so this holds in whatever order its heartbeats arrive.
+		u.draining = true
+		u.markAllDirty()
 	}
-	if b.Sequence < k.lastSequence {
-		k.observer.HeartbeatDropped(b, k.lastSequence)
+	if b.Sequence < u.lastSequence {
+		u.observer.HeartbeatDropped(b, u.lastSequence)
 		return
 	}
-	k.lastSequence, k.saidEnded = b.Sequence, false
-	k.coldUntil = now.Add(b.ColdFor)
-	k.updateCold(now)
-	news := !k.described || k.info.Total != b.Total || !slices.Equal(k.info.Labels, b.Labels)
-	if !k.described {
-		k.described, k.info = true, b.Upstream
+	u.lastSequence, u.saidEnded = b.Sequence, false
+	u.coldUntil = now.Add(b.ColdFor)
+	u.updateCold(now)
+	changed := !u.described || u.info.Total != b.Total || !slices.Equal(u.info.Labels, b.Labels)
+	if !u.described {
+		u.described, u.info = true, b.Upstream
 	}
-	k.info.Labels, k.info.Total = b.Labels, b.Total
-	k.roomReported = k.roomReported || !b.Recalled
-	if news {
-		k.sendUpstream()
+	u.info.Labels, u.info.Total = b.Labels, b.Total
+	u.roomReported = u.roomReported || !b.Recalled
+	if changed {
+		u.sendUpstream()
 	}
-	k.markAllDirty()
+	u.markAllDirty()
 }
 
-// tellUpstream tells all entries what stands here.
-func (k *Controller) sendUpstream() {
-	for _, s := range k.sessionOrder {
+// sendUpstream sends the description of the upstream to all entries.
+func (u *Controller) sendUpstream() {
+	for _, s := range u.sessionOrder {
 		if s.linked {
-			k.entries.Upstream(s.entry, k.info)
+			u.entries.Upstream(s.entry, u.info)
 		}
 	}
 }
 
-// claimed takes in a heartbeat of a life other than the known one.
-func (k *Controller) claimLife(now time.Time, b lives.Heartbeat) {
-	k.queryClaim(now, k.lives.Claim(now, b))
+// claimLife handles a heartbeat of a life that isn't the present one.
+func (u *Controller) claimLife(now time.Time, b lives.Heartbeat) {
+	u.queryClaim(now, u.lives.Claim(now, b))
 }
 
-// ask asks the upstream whether it is the life that a claim is about. Another upstream refuses the call, another life under the
-// same id says when it began.
-func (k *Controller) queryClaim(now time.Time, c *lives.Claim) {
+// queryClaim asks the upstream whether it is the claimed life. An upstream with another id refuses the call; another life under the same
+// id answers with its own birth time.
+func (u *Controller) queryClaim(now time.Time, c *lives.Claim) {
 	token, due := c.BeginQuery(now)
 	if !due {
 		return
 	}
-	if c.Heartbeat.ID == k.life.ID {
-		token = k.lease.Token() // it may be the present life that answers
+	if c.Heartbeat.ID == u.life.ID {
+		token = u.lease.Token() // the present life may be the one that answers
 	}
 	h := call.Header{Instance: c.Heartbeat.ID, Born: c.Heartbeat.Born, Token: token, Sent: now}
-	k.caller.Hold(call.Hold{Header: h, Poll: true})
+	u.caller.Hold(call.Hold{Header: h, Poll: true})
 }
 
-// askAgain repeats the questions that got no answer.
-func (k *Controller) requeryClaims(now time.Time) {
-	for _, c := range k.lives.DueClaims(now, retryPause) {
-		k.queryClaim(now, c)
+// requeryClaims repeats the queries that got no answer.
+func (u *Controller) requeryClaims(now time.Time) {
+	for _, c := range u.lives.DueClaims(now, retryPause) {
+		u.queryClaim(now, c)
 	}
 }
 
-// claimAnswered handles the answer to a question; one without an answer is put again.
-func (k *Controller) handleClaimAnswer(now time.Time, c *lives.Claim, asked call.Header, h call.HoldResult) {
+// handleClaimAnswer handles the answer to the query of a claim. Without an answer, the claim is queried again later.
+func (u *Controller) handleClaimAnswer(now time.Time, c *lives.Claim, query call.Header, h call.HoldResult) {
 	c.EndQuery()
 	switch h.Answer {
 	case call.Fenced:
-		// An earlier agent has called this life, or another life looks at tokens first.
-		c.RaiseToken(now, asked.Token)
-		k.lease.RaiseTokenAbove(now, asked.Token)
-		k.queryClaim(now, c)
+		// An earlier agent has called this life, or another life checks tokens before ids.
+		c.RaiseToken(now, query.Token)
+		u.lease.RaiseTokenAbove(now, query.Token)
+		u.queryClaim(now, c)
 	case call.OK:
-		if asked.Sent.Before(k.lifeBegan) {
-			// Answers overtake each other: the life that has given this one may have ended before the present one began.
-			k.queryClaim(now, c)
+		if query.Sent.Before(u.lifeBegan) {
+			// Answers may arrive out of order: the life that gave this one may have ended before the present life began.
+			u.queryClaim(now, c)
 			return
 		}
-		k.adoptAnsweringLife(now, c, h)
+		u.adoptAnsweringLife(now, c, h)
 	case call.WrongInstance:
-		k.endOutlivedLife(c.Heartbeat.Life())
+		u.endOutlivedLife(c.Heartbeat.Life())
 	}
 }
 
-// answeredBy takes up the life that has answered a question, unless it is the present one.
-func (k *Controller) adoptAnsweringLife(now time.Time, c *lives.Claim, h call.HoldResult) {
+// adoptAnsweringLife adopts the life that has answered the query of a claim, unless it is the present one.
+func (u *Controller) adoptAnsweringLife(now time.Time, c *lives.Claim, h call.HoldResult) {
 	claimed := c.Heartbeat.Life()
 	present := ident.UpstreamLife{ID: claimed.ID, Born: h.Born}
-	if h.Born == 0 || k.without.Has(rule.LifeBorn) {
+	if h.Born == 0 || u.without.Has(rule.LifeBorn) {
 		present = claimed
 	}
 	if present != claimed {
-		k.endOutlivedLife(claimed)
+		u.endOutlivedLife(claimed)
 	}
-	if present == k.life && k.hasLife {
+	if present == u.life && u.hasLife {
 		return
 	}
-	k.adoptLife(now, present, h.Clock)
+	u.adoptLife(now, present, h.Clock)
 }
 
-// outlived notes that a life has ended before the present one.
-func (k *Controller) endOutlivedLife(life ident.UpstreamLife) {
-	k.lives.RecordEnded(life)
-	k.observer.HeartbeatOutlived(life, k.life)
+// endOutlivedLife records that a life ended before the present one.
+func (u *Controller) endOutlivedLife(life ident.UpstreamLife) {
+	u.lives.RecordEnded(life)
+	u.observer.HeartbeatOutlived(life, u.life)
 }
 
-// takeUp takes up a life that the upstream itself has told, with its heartbeat if one has come.
-func (k *Controller) adoptLife(now time.Time, life ident.UpstreamLife, clock call.Clock) {
-	c := k.lives.FindClaim(life)
+// adoptLife makes a life the present one after the upstream itself has confirmed it. It applies the life's heartbeat if one has arrived.
+func (u *Controller) adoptLife(now time.Time, life ident.UpstreamLife, clock call.Clock) {
+	c := u.lives.FindClaim(life)
 	if c == nil {
-		k.beginLife(now, life, nil, clock, "answer")
+		u.beginLife(now, life, nil, clock, "answer")
 		return
 	}
-	k.beginLife(now, life, &c.Heartbeat, clock, "answer")
-	k.applyHeartbeat(now, c.Heartbeat)
+	u.beginLife(now, life, &c.Heartbeat, clock, "answer")
+	u.applyHeartbeat(now, c.Heartbeat)
 }
 
-// reborn tells whether an answer to a call that was made of the present life is another life's, which has the same id.
-func (k *Controller) isOtherLife(born ident.Born) bool {
-	return born != 0 && born != k.life.Born && !k.without.Has(rule.LifeBorn)
+// isOtherLife reports whether the answer to a call for the present life came from another life with the same id.
+func (u *Controller) isOtherLife(born ident.Born) bool {
+	return born != 0 && born != u.life.Born && !u.without.Has(rule.LifeBorn)
 }
 
-// begin takes up a new life of the upstream: whatever ran in the one before is gone. first is its heartbeat, if one has come, clock
-// a reading of its clock; zero is none.
-func (k *Controller) beginLife(now time.Time, life ident.UpstreamLife, first *lives.Heartbeat, clock call.Clock, why string) {
-	former, sameID := k.hasLife, k.hasLife && k.life.ID == life.ID
-	if former {
-		k.lives.RecordEnded(k.life)
-		k.reportLoss(now, k.life, fleet.UpstreamGone)
+// beginLife makes a life the present one; all runs of the former life are gone. first is a heartbeat of the new life, or nil if none has
+// come. clock is a reading of its clock; zero if there is none.
+func (u *Controller) beginLife(now time.Time, life ident.UpstreamLife, first *lives.Heartbeat, clock call.Clock, why string) {
+	hadLife, sameID := u.hasLife, u.hasLife && u.life.ID == life.ID
+	if hadLife {
+		u.lives.RecordEnded(u.life)
+		u.reportLoss(now, u.life, fleet.UpstreamGone)
 	}
-	k.lives.RecordPresent(life)
-	k.hasLife, k.life, k.lifeBegan, k.lastAnswerAt, k.lastAliveAt = true, life, now, now, now
-	k.described, k.roomReported = first != nil, false
-	k.runsKnown, k.failedHolds, k.draining, k.saidEnded = false, 0, false, false
-	k.nextHoldAt, k.nextLookAt = time.Time{}, time.Time{}
-	k.holding, k.looking = false, false // calls under way are meant for the life before
-	k.lastSequence, k.listedClock, k.ends = 0, 0, ends.Tracker{}
-	clear(k.strays)
+	u.lives.RecordPresent(life)
+	u.hasLife, u.life, u.lifeBegan, u.lastAnswerAt, u.lastAliveAt = true, life, now, now, now
+	u.described, u.roomReported = first != nil, false
+	u.runsKnown, u.failedHolds, u.draining, u.saidEnded = false, 0, false, false
+	u.nextHoldAt, u.nextPollAt = time.Time{}, time.Time{}
+	u.holding, u.polling = false, false // calls in flight were meant for the former life
+	u.lastSequence, u.listedClock, u.ends = 0, 0, ends.Tracker{}
+	clear(u.strays)
 	if first != nil {
-		k.info = first.Upstream
+		u.info = first.Upstream
 	}
-	k.lease.Reset(now, clock, sameID)
-	k.sharedID, k.minToken = sameID, k.lease.Token()
-	k.health, k.coldUntil, k.cold = health.Health{}, time.Time{}, false
-	k.observer.LifeBegun(life, why, k.described)
-	if former {
-		k.carryRunsOver(now, sameID)
+	u.lease.Reset(now, clock, sameID)
+	u.sharedID, u.minToken = sameID, u.lease.Token()
+	u.health, u.coldUntil, u.cold = health.Health{}, time.Time{}, false
+	u.observer.LifeBegun(life, why, u.described)
+	if hadLife {
+		u.carryRunsOver(now, sameID)
 	}
-	clear(k.finishedUnlisted)
-	if k.described {
-		k.sendUpstream()
+	clear(u.finishedUnlisted)
+	if u.described {
+		u.sendUpstream()
 	}
-	k.markAllDirty()
-	k.callHold(now)
+	u.markAllDirty()
+	u.callHold(now)
 }
 
-// leaveRuns handles the runs of the life before. Those that it has listed are lost. If the new life has the same id, it may have
-// taken the calls of others for its own: they count as there until it has listed what runs, under a token that makes
-// calls still on their way harmless.
-func (k *Controller) carryRunsOver(now time.Time, sameID bool) {
-	for _, r := range k.sortedRuns() {
+// carryRunsOver handles the runs of the former life. Runs that it has listed are lost. If the new life has the same id, it may have
+// accepted the calls for the other runs: these count as present until the new life has listed what runs, in the answer to a call whose
+// token makes earlier calls that are still on their way harmless.
+func (u *Controller) carryRunsOver(now time.Time, sameID bool) {
+	for _, r := range u.sortedRuns() {
 		if !sameID || r.listed {
-			k.finish(now, r, job.Lost, fleet.UpstreamGone, "")
+			u.finish(now, r, job.Lost, fleet.UpstreamGone, "")
 			continue
 		}
 		r.phase, r.provableFrom, r.fromFormerLife = unsure, time.Time{}, true
@@ -210,54 +210,55 @@
 	}
 }
 
-// Recall takes up an upstream that an earlier agent has known, before its first heartbeat. If it lives no more, the
-// first call says so. Its clock is learned by that call.
-func (k *Controller) Recall(now time.Time, u lives.Snapshot) {
-	b := u.Heartbeat()
-	if k.without.Has(rule.LifeBorn) {
+// Recall adopts an upstream that an earlier agent process knew, before its first heartbeat. If that life has ended, the answer to the
+// first call says so. That answer also brings the first reading of its clock.
+func (u *Controller) Recall(now time.Time, s lives.Snapshot) {
+	b := s.Heartbeat()
+	if u.without.Has(rule.LifeBorn) {
 		b.Born = 0
 	}
 	switch {
-	case k.lives.HasEnded(b.Life()):
-	case k.hasLife && k.life == b.Life():
-		k.draining = k.draining || u.Draining // the heartbeat may be older than what was known
-		k.markAllDirty()
-	case k.hasLife:
-		// The heartbeat that came first may be an earlier life's.
-		k.claimLife(now, b)
+	case u.lives.HasEnded(b.Life()):
+	case u.hasLife && u.life == b.Life():
+		u.draining = u.draining || s.Draining // the heartbeat may be older than the snapshot
+		u.markAllDirty()
+	case u.hasLife:
+		// The heartbeat that came first may be from an earlier life.
+		u.claimLife(now, b)
 	default:
-		k.beginLife(now, b.Life(), &b, 0, "recalled")
-		k.applyHeartbeat(now, b)
+		u.beginLife(now, b.Life(), &b, 0, "recalled")
+		u.applyHeartbeat(now, b)
 	}
 }
 
-// end forgets the present life.
-func (k *Controller) endLife(now time.Time) {
-	k.lives.RecordEnded(k.life)
-	k.hasLife, k.runsKnown = false, false
-	clear(k.strays)
-	k.loseAllRuns(now, fleet.UpstreamGone)
+// endLife ends the present life; the next one is not known yet.
+func (u *Controller) endLife(now time.Time) {
+	u.lives.RecordEnded(u.life)
+	u.hasLife, u.runsKnown = false, false
+	clear(u.strays)
+	u.loseAllRuns(now, fleet.UpstreamGone)
 }
 
-// loseAll ends every run as lost.
-func (k *Controller) loseAllRuns(now time.Time, why fleet.Reason) {
-	k.reportLoss(now, k.life, why)
-	for _, r := range k.sortedRuns() {
-		k.finish(now, r, job.Lost, why, "")
+// loseAllRuns ends every run as lost.
+func (u *Controller) loseAllRuns(now time.Time, why fleet.Reason) {
+	u.reportLoss(now, u.life, why)
+	for _, r := range u.sortedRuns() {
+		u.finish(now, r, job.Lost, why, "")
 	}
 }
 
-// Left handles an upstream's word that it has ended, which it sends shortly before: where the acknowledgement is lost, seconds before. Nor
-// does it say which life: where lives share an id, it may be a former one's that was held up on the way. So the present one
-// takes no more work until it is heard again, and its runs are lost only once their lease has lapsed, or another answers.
-func (k *Controller) UpstreamLeft(now time.Time, id ident.UpstreamID) {
+// UpstreamLeft handles an upstream's message that it has ended. The upstream sends it shortly before it ends, or seconds before if the
+// acknowledgement is lost. The message doesn't say which life sent it: where lives share an id, it may be a delayed one of a former life.
+// So the present life gets no more work until its next heartbeat, and its runs are lost only once their lease has lapsed or another life
+// answers.
+func (u *Controller) UpstreamLeft(now time.Time, id ident.UpstreamID) {
 	switch {
-	case !k.hasLife || k.life.ID != id:
-		k.lives.RecordEnded(ident.UpstreamLife{ID: id})
-	case k.life.Born == 0 && len(k.runs) == 0:
-		k.endLife(now)
+	case !u.hasLife || u.life.ID != id:
+		u.lives.RecordEnded(ident.UpstreamLife{ID: id})
+	case u.life.Born == 0 && len(u.runs) == 0:
+		u.endLife(now)
 	default:
-		k.saidEnded = true
+		u.saidEnded = true
 	}
-	k.markAllDirty()
+	u.markAllDirty()
 }
--- a/internal/agent/upstream/listed.go
+++ b/internal/agent/upstream/listed.go
@@ -16,136 +16,137 @@
 	"hillreel/internal/core/rule"
 )
 
-// held takes in what the upstream lists, and tells whether an end is new.
-func (k *Controller) applyListing(now time.Time, c call.Hold, h call.HoldResult) (news bool) {
-	if k.failedHolds > 0 || !k.runsKnown {
-		k.markAllDirty()
-	}
-	k.failedHolds = 0
-	if c.Sent.After(k.answeredHoldSentAt) {
-		k.answeredHoldSentAt = c.Sent
-	}
-	if !k.runsKnown {
-		k.inspectFirstListing(h)
-		if k.sharedID {
-			k.lease.AssumeForeignExtension(now) // from this answer on, calls to the former life are refused
+// applyListing applies the answer to a hold or a poll: what has ended and what runs. It reports whether the answer lists a new end.
+func (u *Controller) applyListing(now time.Time, c call.Hold, h call.HoldResult) (hasNewEnd bool) {
+	if u.failedHolds > 0 || !u.runsKnown {
+		u.markAllDirty()
+	}
+	u.failedHolds = 0
+	if c.Sent.After(u.answeredHoldSentAt) {
+		u.answeredHoldSentAt = c.Sent
+	}
+	if !u.runsKnown {
+		u.inspectFirstListing(h)
+		if u.sharedID {
+			u.lease.AssumeForeignExtension(now) // calls to the former life are refused from this answer on
 		}
 	}
-	news = k.applyEnds(now, h.Finished)
-	if h.Clock < k.listedClock {
-		// A newer answer has come before this one, and what it lists as running may have ended.
-		k.observer.ListingOvertaken()
-		return news
+	hasNewEnd = u.applyEnds(now, h.Finished)
+	if h.Clock < u.listedClock {
+		// A newer answer has come first. Runs that this one lists may have ended since.
+		u.observer.ListingOvertaken()
+		return hasNewEnd
 	}
 	if len(h.Finished) >= ends.ListLimit {
-		// Ends may be missing.
-		return news
-	}
-	k.listedClock = h.Clock
-	k.applyRunning(now, c, h.Running)
-	k.runsKnown = true
-	k.sendProgress(now)
-	return news
+		// The list is full, so that ends may be missing from it.
+		return hasNewEnd
+	}
+	u.listedClock = h.Clock
+	u.applyRunning(now, c, h.Running)
+	u.runsKnown = true
+	u.sendProgress(now)
+	return hasNewEnd
 }
 
-// takeEnds takes in the listed ends, and tells whether one is new.
-func (k *Controller) applyEnds(now time.Time, finished []call.Finished) (news bool) {
+// applyEnds applies the listed ends, and reports whether one of them is new.
+func (u *Controller) applyEnds(now time.Time, finished []call.Finished) (hasNewEnd bool) {
 	for _, f := range finished {
-		if k.ends.Record(f) {
-			news = true
-			k.handleEnd(now, f)
+		if u.ends.Record(f) {
+			hasNewEnd = true
+			u.handleEnd(now, f)
 		}
 	}
-	return news
+	return hasNewEnd
 }
 
-// takeRunning takes in what the upstream lists as running, and what it does not.
-func (k *Controller) applyRunning(now time.Time, c call.Hold, running []call.Running) {
+// applyRunning applies the list of what runs: to the listed runs, and to the known runs that are missing from it.
+func (u *Controller) applyRunning(now time.Time, c call.Hold, running []call.Running) {
 	listed := make(map[job.TaskID]call.Running, len(running))
 	for _, l := range running {
 		listed[l.Task] = l
-		k.handleListedRun(now, c, l)
+		u.handleListedRun(now, c, l)
 	}
 	isListed := func(r fleet.RunRef) bool {
 		l, ok := listed[r.Task]
 		return ok && l.Run == r.Run
 	}
-	for _, r := range k.sortedRuns() {
+	for _, r := range u.sortedRuns() {
 		if !isListed(r.ref()) && r.phase != starting && c.Sent.After(r.provableFrom) {
-			k.finishAbsent(now, r)
+			u.finishAbsent(now, r)
 		}
 	}
-	for key, at := range k.strays {
+	for key, at := range u.strays {
 		if !isListed(key) && !at.IsZero() && c.Sent.After(at) {
-			k.forgetStray(key)
-			k.markAllDirty()
+			u.forgetStray(key)
+			u.markAllDirty()
 		}
 	}
 }
 
-// first takes in what an earlier agent has left at the upstream. Ends of kept jobs may be among it, which their entries
-// have not stored; once the earlier agent's lease has lapsed, they count for nothing, and the upstream may forget them.
-func (k *Controller) inspectFirstListing(h call.HoldResult) {
+// inspectFirstListing checks whether an earlier agent has left runs or ends at the upstream, and if so sets noAckUntil. Ends of kept jobs
+// that their entries have not stored may be among these. Once the earlier agent's lease has lapsed, they count for nothing, and the
+// upstream may forget them.
+func (u *Controller) inspectFirstListing(h call.HoldResult) {
 	last := len(h.Finished) - 1
 	lapsed := len(h.Running) == 0 && (last < 0 || h.Finished[last].Result == call.ResultLapsed)
-	if !lapsed && !k.without.Has(rule.AckAfterLapse) {
-		longest := k.timing.Lease
-		if k.life.Born != 0 {
-			longest = time.Duration(lease.MaxLength) // the earlier agent may have extended it by the clock of a former life
+	if !lapsed && !u.without.Has(rule.AckAfterLapse) {
+		longest := u.timing.Lease
+		if u.life.Born != 0 {
+			longest = time.Duration(lease.MaxLength) // the earlier agent may have extended the lease by the clock of a former life
 		}
-		k.noAckUntil = k.start.Add(fleet.LeaseBound(longest) + lease.KillMargin)
+		u.noAckUntil = u.start.Add(fleet.LeaseBound(longest) + lease.KillMargin)
 	}
 }
 
-// ended handles one listed end.
-func (k *Controller) handleEnd(now time.Time, f call.Finished) {
+// handleEnd handles one listed end.
+func (u *Controller) handleEnd(now time.Time, f call.Finished) {
 	key := fleet.RunRef{Task: f.Task, Run: f.Run}
-	k.forgetStray(key)
-	if k.finishedUnlisted[key] {
-		delete(k.finishedUnlisted, key)
-		k.withholdLateEnd(now, f)
+	u.forgetStray(key)
+	if u.finishedUnlisted[key] {
+		delete(u.finishedUnlisted, key)
+		u.withholdLateEnd(now, f)
 		return
 	}
-	r := k.runs[f.Task]
+	r := u.runs[f.Task]
 	if r == nil || r.number != f.Run {
 		return
 	}
-	defer delete(k.finishedUnlisted, key) // its end is listed
+	defer delete(u.finishedUnlisted, key) // its end is listed
 	switch f.Result {
 	case call.ResultDone:
-		k.finish(now, r, job.Done, "", f.Checkpoint)
+		u.finish(now, r, job.Done, "", f.Checkpoint)
 	case call.ResultFailed:
-		k.finish(now, r, job.Failed, "", f.Checkpoint)
+		u.finish(now, r, job.Failed, "", f.Checkpoint)
 	case call.ResultStopped:
 		if r.stop != nil {
-			k.finish(now, r, r.stop.outcome, r.stop.reason, f.Checkpoint)
+			u.finish(now, r, r.stop.outcome, r.stop.reason, f.Checkpoint)
 			return
 		}
-		k.finish(now, r, job.Lost, fleet.OnRequest, f.Checkpoint)
+		u.finish(now, r, job.Lost, fleet.OnRequest, f.Checkpoint)
 	default:
-		k.finish(now, r, job.Lost, fleet.LeaseLapsed, f.Checkpoint)
+		u.finish(now, r, job.Lost, fleet.LeaseLapsed, f.Checkpoint)
 	}
 }
 
-// absent handles a run that is surely not at the upstream, though no end was listed.
-func (k *Controller) finishAbsent(now time.Time, r *run) {
+// finishAbsent finishes a run that is certainly not at the upstream, though no end was listed.
+func (u *Controller) finishAbsent(now time.Time, r *run) {
 	switch {
 	case r.stop != nil:
-		k.finish(now, r, r.stop.outcome, r.stop.reason, "")
+		u.finish(now, r, r.stop.outcome, r.stop.reason, "")
 	case r.fromFormerLife:
-		k.finish(now, r, job.Lost, fleet.UpstreamGone, "")
+		u.finish(now, r, job.Lost, fleet.UpstreamGone, "")
 	case r.phase == unsure:
-		k.finish(now, r, job.NotStarted, fleet.NeverArrived, "")
+		u.finish(now, r, job.NotStarted, fleet.NeverArrived, "")
 	default:
-		k.finish(now, r, job.Lost, fleet.NotListed, "")
+		u.finish(now, r, job.Lost, fleet.NotListed, "")
 	}
 }
 
-// progress handles one run that the upstream lists as running.
-func (k *Controller) handleListedRun(now time.Time, c call.Hold, l call.Running) {
-	r := k.runs[l.Task]
+// handleListedRun handles one run that the upstream lists as running.
+func (u *Controller) handleListedRun(now time.Time, c call.Hold, l call.Running) {
+	r := u.runs[l.Task]
 	if r == nil || r.number != l.Run {
-		k.stopStray(now, l)
+		u.stopStray(now, l)
 		return
 	}
 	r.listed, r.fromFormerLife = true, false
@@ -153,75 +154,75 @@
 		r.phase, r.provableFrom = running, now
 	}
 	if l.Percent > r.percent {
-		k.recordProgress(now, r, l.Percent)
+		u.recordProgress(now, r, l.Percent)
 	}
 	if r.stop == nil && stalled(now, r) {
-		k.stopRun(now, r, stopState{outcome: job.Stalled, reason: fleet.NoProgress, cause: NoProgress})
+		u.stopRun(now, r, stopState{outcome: job.Stalled, reason: fleet.NoProgress, cause: NoProgress})
 	}
 }
 
-// stalled tells whether a run has made no progress for too long.
+// stalled reports whether a run has made no progress for too long.
 func stalled(now time.Time, r *run) bool {
 	return r.phase == running && r.percent < 100 && health.IsStalled(now.Sub(r.progressAt), r.estimate)
 }
 
-// advance notes that a run has got on.
-func (k *Controller) recordProgress(now time.Time, r *run, percent int) {
-	k.health.RecordProgress(now.Sub(r.progressAt), r.estimate*time.Duration(percent-r.percent)/100)
+// recordProgress records that a run has made progress.
+func (u *Controller) recordProgress(now time.Time, r *run, percent int) {
+	u.health.RecordProgress(now.Sub(r.progressAt), r.estimate*time.Duration(percent-r.percent)/100)
 	r.percent, r.progressAt = percent, now
 }
 
-// slowEvery is the pause between two tellings of how runs on a slow upstream get on.
+// progressInterval is the least time between two progress reports to entries.
 const progressInterval = 50 * time.Millisecond
 
-// tellSlow tells entries how long their runs will still take, while the upstream is slow beside others.
-func (k *Controller) sendProgress(now time.Time) {
-	if !k.health.IsSlow(k.medianPace) || now.Sub(k.progressSentAt) < progressInterval {
+// sendProgress reports to entries how long their runs will still take, while the upstream is slow compared with others.
+func (u *Controller) sendProgress(now time.Time) {
+	if !u.health.IsSlow(u.medianPace) || now.Sub(u.progressSentAt) < progressInterval {
 		return
 	}
-	k.progressSentAt = now
+	u.progressSentAt = now
 	byOwner := make(map[ident.Incarnation][]fleet.Progress)
-	for _, r := range k.sortedRuns() {
+	for _, r := range u.sortedRuns() {
 		if r.phase != running || r.stop != nil {
 			continue
 		}
-		left := time.Duration(float64(r.estimate) * float64(100-r.percent) / 100 * k.health.Pace())
+		left := time.Duration(float64(r.estimate) * float64(100-r.percent) / 100 * u.health.Pace())
 		byOwner[r.owner] = append(byOwner[r.owner], fleet.Progress{OrderedRun: r.ordered(), Left: left})
 	}
-	for _, s := range k.sessionOrder {
+	for _, s := range u.sessionOrder {
 		if runs := byOwner[s.entry]; s.linked && len(runs) > 0 {
-			k.entries.Progress(s.entry, runs)
+			u.entries.Progress(s.entry, runs)
 		}
 	}
 }
 
-// stray stops a run that nobody here has ordered: one of an earlier agent, or a start that came late.
-func (k *Controller) stopStray(now time.Time, l call.Running) {
+// stopStray stops a stray: a run that the agent has no record of. It was started by an earlier agent, or its start call arrived late.
+func (u *Controller) stopStray(now time.Time, l call.Running) {
 	key := fleet.RunRef{Task: l.Task, Run: l.Run}
-	at, known := k.strays[key]
+	at, known := u.strays[key]
 	switch {
 	case !known:
-		k.observer.StrayChanged(key, StrayFound)
+		u.observer.StrayChanged(key, StrayFound)
 	case at.IsZero() || now.Sub(at) < stopRetry:
 		return
 	}
-	k.strays[key] = time.Time{}
-	k.caller.Stop(call.Stop{Header: k.header(now), Task: l.Task, Run: l.Run})
-	k.markAllDirty()
+	u.strays[key] = time.Time{}
+	u.caller.Stop(call.Stop{Header: u.header(now), Task: l.Task, Run: l.Run})
+	u.markAllDirty()
 }
 
-// strayGone forgets a stray, if the run is one.
-func (k *Controller) forgetStray(key fleet.RunRef) {
-	if _, ok := k.strays[key]; !ok {
+// forgetStray removes a run from the strays, if it is one.
+func (u *Controller) forgetStray(key fleet.RunRef) {
+	if _, ok := u.strays[key]; !ok {
 		return
 	}
-	delete(k.strays, key)
-	k.observer.StrayChanged(key, StrayGone)
+	delete(u.strays, key)
+	u.observer.StrayChanged(key, StrayGone)
 }
 
-// strayKeys lists the strays in a fixed order.
-func (k *Controller) strayKeys() []fleet.RunRef {
-	return slices.SortedFunc(maps.Keys(k.strays), func(a, b fleet.RunRef) int {
+// strayKeys returns the strays in a fixed order.
+func (u *Controller) strayKeys() []fleet.RunRef {
+	return slices.SortedFunc(maps.Keys(u.strays), func(a, b fleet.RunRef) int {
 		return cmp.Or(a.Task.Compare(b.Task), cmp.Compare(a.Run, b.Run))
 	})
 }
--- a/internal/agent/upstream/room.go
+++ b/internal/agent/upstream/room.go
@@ -11,20 +11,20 @@
 	"hillreel/internal/core/rule"
 )
 
-// News of room wait for more: each entry is told at most every newsLeast, and one entry after the other, newsEach apart, so that an
-// agent sends at most 333 such messages a second however many entries there are. At 300 VMs agents sent up to 248 kB a second
-// without that bound. Telling all entries of the same room at once makes them race for it: with twelve entries and 67 upstreams that
-// are asked for more than fits, one after the other costs 23,000 instead of 34,000 news and 8,200 instead of 10,500 orders a
-// second, and 37% fewer orders find the room taken, at the same service (hillreel load).
+// Messages about room are combined: each entry gets at most one per roomInterval, and the entries get theirs one after the other,
+// roomSpacing apart, so that an agent sends at most 333 of them a second however many entries there are. Without that bound, agents sent
+// up to 248 kB a second at 300 VMs. Entries that learn of the same room at once compete for it: with twelve entries, 67 upstreams and
+// more work than fits, sending in turn takes 23,000 instead of 34,000 messages and 8,200 instead of 10,500 orders a second, and 37% fewer
+// orders find the room taken, at the same service (hillreel load).
 const (
 	roomInterval = 10 * time.Millisecond
 	roomSpacing  = 3 * time.Millisecond
 )
 
-// linkedEntries lists the entries that are linked, from the oldest link on.
-func (k *Controller) linkedEntries() []ident.Incarnation {
+// linkedEntries returns the linked entries in the order of their first links.
+func (u *Controller) linkedEntries() []ident.Incarnation {
 	var out []ident.Incarnation
-	for _, s := range k.sessionOrder {
+	for _, s := range u.sessionOrder {
 		if s.linked {
 			out = append(out, s.entry)
 		}
@@ -32,11 +32,11 @@
 	return out
 }
 
-// free returns the room that nothing has, or may have, taken.
-func (k *Controller) free() job.Resources {
-	free := k.info.Total
-	for _, r := range k.runs {
-		if k.without.Has(rule.CountStopping) && (r.stop != nil || r.phase == unsure) {
+// free returns the room that no run takes or may take.
+func (u *Controller) free() job.Resources {
+	free := u.info.Total
+	for _, r := range u.runs {
+		if u.without.Has(rule.CountStopping) && (r.stop != nil || r.phase == unsure) {
 			continue
 		}
 		free = free.Sub(r.resources)
@@ -44,107 +44,107 @@
 	return free
 }
 
-// state returns the upstream's state as it is for all entries, and what decided it.
-func (k *Controller) state(now time.Time) (fleet.State, string) {
+// state returns the upstream's state as it is for all entries, and the fact that decided it.
+func (u *Controller) state(now time.Time) (fleet.State, string) {
 	return condition.Evaluate(condition.Facts{
-		AgentLeaving:    k.leaving,
-		Draining:        k.draining,
-		SaidEnded:       k.saidEnded,
-		Described:       k.hasLife && k.described,
-		RoomReported:    k.roomReported || k.without.Has(rule.RoomHeard),
-		Listed:          k.runsKnown || k.without.Has(rule.LookFirst),
-		EarlierLease:    now.Before(k.noAckUntil),
-		Silent:          k.failedHolds >= unreachableAfter,
-		AnswerOverdue:   k.mayHaveRestarted(now),
-		UnknownRuns:     len(k.strays) > 0 && !k.without.Has(rule.LookFirst),
-		StopUnconfirmed: k.mustLetLeaseLapse(now),
-		CordonsUnknown:  k.zone == ZoneUnknown && !k.without.Has(rule.CordonKnown),
-		EndsNotStored:   k.ends.Full(len(k.runs)),
-		Cordoned:        k.isCordoned(),
-		Failing:         k.health.IsSuspect(),
+		AgentLeaving:    u.leaving,
+		Draining:        u.draining,
+		SaidEnded:       u.saidEnded,
+		Described:       u.hasLife && u.described,
+		RoomReported:    u.roomReported || u.without.Has(rule.RoomHeard),
+		Listed:          u.runsKnown || u.without.Has(rule.LookFirst),
+		EarlierLease:    now.Before(u.noAckUntil),
+		Silent:          u.failedHolds >= unreachableAfter,
+		AnswerOverdue:   u.mayHaveRestarted(now),
+		UnknownRuns:     len(u.strays) > 0 && !u.without.Has(rule.LookFirst),
+		StopUnconfirmed: u.mustLetLeaseLapse(now),
+		CordonsUnknown:  u.zone == ZoneUnknown && !u.without.Has(rule.CordonKnown),
+		EndsNotStored:   u.ends.Full(len(u.runs)),
+		Cordoned:        u.isCordoned(),
+		Failing:         u.health.IsSuspect(),
 	})
 }
 
-// stateFor returns the state that one entry is told.
-func (k *Controller) stateFor(now time.Time, entry ident.Incarnation) fleet.State {
-	state, _ := k.state(now)
-	return k.stateShownTo(now, state, entry)
+// stateFor returns the state that is reported to one entry.
+func (u *Controller) stateFor(now time.Time, entry ident.Incarnation) fleet.State {
+	state, _ := u.state(now)
+	return u.stateShownTo(now, state, entry)
 }
 
-// shown is the state that one entry is told while the upstream is in a state.
-func (k *Controller) stateShownTo(now time.Time, state fleet.State, entry ident.Incarnation) fleet.State {
-	if state == fleet.Suspect && k.selectProber(now) == entry {
+// stateShownTo returns the state that is reported to one entry while the upstream is in state.
+func (u *Controller) stateShownTo(now time.Time, state fleet.State, entry ident.Incarnation) fleet.State {
+	if state == fleet.Suspect && u.selectProber(now) == entry {
 		return fleet.Probing
 	}
 	return state
 }
 
-// prober returns the entry that may send the next task to a suspect upstream, or zero.
-func (k *Controller) selectProber(now time.Time) ident.Incarnation {
-	linked := k.linkedEntries()
-	if len(k.runs) > 0 || len(linked) == 0 || !k.health.IsProbeDue(now) {
+// selectProber returns the entry that may send the next task to a suspect upstream; zero if none may.
+func (u *Controller) selectProber(now time.Time) ident.Incarnation {
+	linked := u.linkedEntries()
+	if len(u.runs) > 0 || len(linked) == 0 || !u.health.IsProbeDue(now) {
 		return 0
 	}
 	slices.Sort(linked)
-	return k.health.SelectProber(now, linked)
+	return u.health.SelectProber(now, linked)
 }
 
-// touchAll makes the next Flush tell all entries.
-func (k *Controller) markAllDirty() {
-	if !slices.ContainsFunc(k.sessionOrder, func(s *session) bool { return s.dirty }) {
-		k.roomTurn++ // else the same entry would always be the first to hear
+// markAllDirty makes Flush report the room to all entries.
+func (u *Controller) markAllDirty() {
+	if !slices.ContainsFunc(u.sessionOrder, func(s *session) bool { return s.dirty }) {
+		u.roomTurn++ // otherwise the same entry would always be the first
 	}
-	for _, s := range k.sessionOrder {
+	for _, s := range u.sessionOrder {
 		s.dirty = true
 	}
 }
 
-// Flush sends news of room where it is due.
-func (k *Controller) Flush(now time.Time) {
-	k.startAlone(now)
-	state, why := k.state(now)
-	if state != k.announcedState {
-		k.observer.StateChanged(k.announcedState, state, why)
-		k.announcedState = state
-		for _, s := range k.sessionOrder {
+// Flush sends what is due: the state, answers to queries, and messages about room.
+func (u *Controller) Flush(now time.Time) {
+	u.startAlone(now)
+	state, why := u.state(now)
+	if state != u.announcedState {
+		u.observer.StateChanged(u.announcedState, state, why)
+		u.announcedState = state
+		for _, s := range u.sessionOrder {
 			s.dirty, s.urgent = true, true
 		}
 	}
-	k.answerEndsQueries()
-	for _, s := range k.sessionOrder {
-		if s.linked && (now.Sub(s.roomSentAt) >= k.timing.KeepAlive || s.dirty && s.urgent) {
-			k.sendRoom(now, s, state)
+	u.answerEndsQueries()
+	for _, s := range u.sessionOrder {
+		if s.linked && (now.Sub(s.roomSentAt) >= u.timing.KeepAlive || s.dirty && s.urgent) {
+			u.sendRoom(now, s, state)
 		}
 	}
-	if next := k.nextRoomRecipient(now); next != nil {
-		k.roomTurnAt = now
-		k.sendRoom(now, next, state)
+	if next := u.nextRoomRecipient(now); next != nil {
+		u.roomTurnAt = now
+		u.sendRoom(now, next, state)
 	}
 }
 
-// nextTold returns the entry whose turn it is to be told of room, or nil.
-func (k *Controller) nextRoomRecipient(now time.Time) *session {
-	if now.Sub(k.roomTurnAt) < roomSpacing {
+// nextRoomRecipient returns the session whose turn it is to get a message about room, or nil.
+func (u *Controller) nextRoomRecipient(now time.Time) *session {
+	if now.Sub(u.roomTurnAt) < roomSpacing {
 		return nil
 	}
-	for i := range k.sessionOrder {
-		at := (k.roomTurn + i) % len(k.sessionOrder)
-		if s := k.sessionOrder[at]; s.linked && s.dirty && now.Sub(s.roomSentAt) >= roomInterval {
-			k.roomTurn = at + 1
+	for i := range u.sessionOrder {
+		at := (u.roomTurn + i) % len(u.sessionOrder)
+		if s := u.sessionOrder[at]; s.linked && s.dirty && now.Sub(s.roomSentAt) >= roomInterval {
+			u.roomTurn = at + 1
 			return s
 		}
 	}
 	return nil
 }
 
-// sendRoom tells an entry what room there is, while the upstream is in a state.
-func (k *Controller) sendRoom(now time.Time, s *session, state fleet.State) {
+// sendRoom reports the room to an entry, while the upstream is in state.
+func (u *Controller) sendRoom(now time.Time, s *session, state fleet.State) {
 	s.dirty, s.urgent, s.roomSentAt = false, false, now
-	free := k.free()
-	if k.isReservedForAlone(now) {
+	free := u.free()
+	if u.isReservedForAlone(now) {
 		free = job.Resources{}
 	}
-	k.entries.Room(s.entry, fleet.Room{
-		Free: free, Seq: s.seq, Clock: k.uptime(now), State: k.stateShownTo(now, state, s.entry), Pace: k.pace(),
+	u.entries.Room(s.entry, fleet.Room{
+		Free: free, Seq: s.seq, Clock: u.uptime(now), State: u.stateShownTo(now, state, s.entry), Pace: u.pace(),
 	})
 }
--- a/internal/agent/upstream/shrink_test.go
+++ b/internal/agent/upstream/shrink_test.go
@@ -12,52 +12,52 @@
 	"hillreel/internal/core/job"
 )
 
-// TestShrinkingRoom: what a heartbeat says of the room holds from then on, for what runs and is being stopped as well; a heartbeat that was
-// overtaken says nothing.
+// TestShrinkingRoom: the room in a heartbeat applies at once, also to runs that go on or are being stopped. A heartbeat that arrives
+// after a newer one changes nothing.
 func TestShrinkingRoom(t *testing.T) {
-	b := newHarness(t, nil)
+	h := newHarness(t, nil)
 	beat := func(sequence uint64, cpu int64) {
-		b.manager.Heartbeat(b.now, lives.Heartbeat{
-			Upstream: fleet.Upstream{ID: "u-1", Service: "publish", Total: job.Resources{CPU: cpu}}, Sequence: sequence, Clock: b.clock(),
+		h.controller.Heartbeat(h.now, lives.Heartbeat{
+			Upstream: fleet.Upstream{ID: "u-1", Service: "publish", Total: job.Resources{CPU: cpu}}, Sequence: sequence, Clock: h.clock(),
 		})
-		b.countToldAll()
+		h.flushRoom()
 	}
-	b.order(one, 1)
-	first := b.starts[0]
-	b.manager.StartDone(b.now, first, call.OK, b.clock())
+	h.order(one, 1)
+	first := h.starts[0]
+	h.controller.StartDone(h.now, first, call.OK, h.clock())
 	beat(3, 1000)
-	qt.Assert(t, b.rooms[one].Free, qt.Equals, job.Resources{})
-	beat(2, 2000) // overtaken
-	b.orderBeside(two, 1)
-	qt.Assert(t, b.starts, qt.HasLen, 1)
-	qt.Assert(t, b.ends[two][0].Reason, qt.Equals, fleet.NoRoom)
+	qt.Assert(t, h.rooms[one].Free, qt.Equals, job.Resources{})
+	beat(2, 2000) // arrives after a newer one
+	h.orderBeside(two, 1)
+	qt.Assert(t, h.starts, qt.HasLen, 1)
+	qt.Assert(t, h.ends[two][0].Reason, qt.Equals, fleet.NoRoom)
 	beat(4, 500)
-	b.manager.StopTask(b.now, one, ordered(1), fleet.OnRequest)
-	beat(5, 1500) // what is being stopped takes 1,000
-	b.orderBeside(two, 2)
-	qt.Assert(t, b.starts, qt.HasLen, 1)
+	h.controller.StopTask(h.now, one, ordered(1), fleet.OnRequest)
+	beat(5, 1500) // the run that is being stopped takes 1,000
+	h.orderBeside(two, 2)
+	qt.Assert(t, h.starts, qt.HasLen, 1)
 	beat(6, 2000)
-	b.orderBeside(two, 3)
-	qt.Assert(t, b.starts, qt.HasLen, 2)
+	h.orderBeside(two, 3)
+	qt.Assert(t, h.starts, qt.HasLen, 2)
 }
 
-// TestShrunkBelowWhatRuns: nothing is started before the runs fit, and what runs goes on.
+// TestShrunkBelowWhatRuns: if the room shrinks below what runs, the runs go on, and nothing is started until they fit.
 func TestShrunkBelowWhatRuns(t *testing.T) {
-	b := newHarness(t, nil)
-	b.order(one, 1)
-	b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
-	b.manager.Heartbeat(b.now, lives.Heartbeat{Upstream: fleet.Upstream{ID: "u-1", Service: "publish"}, Sequence: 2, Clock: b.clock()})
-	b.countToldAll()
-	qt.Assert(t, b.stops, qt.HasLen, 0)
-	qt.Assert(t, b.rooms[one].Free, qt.Equals, job.Resources{CPU: -1000})
-	b.orderBeside(two, 1)
-	qt.Assert(t, b.starts, qt.HasLen, 1)
+	h := newHarness(t, nil)
+	h.order(one, 1)
+	h.controller.StartDone(h.now, h.starts[0], call.OK, h.clock())
+	h.controller.Heartbeat(h.now, lives.Heartbeat{Upstream: fleet.Upstream{ID: "u-1", Service: "publish"}, Sequence: 2, Clock: h.clock()})
+	h.flushRoom()
+	qt.Assert(t, h.stops, qt.HasLen, 0)
+	qt.Assert(t, h.rooms[one].Free, qt.Equals, job.Resources{CPU: -1000})
+	h.orderBeside(two, 1)
+	qt.Assert(t, h.starts, qt.HasLen, 1)
 }
 
-// toldAll lets both entries hear of the room.
-func (b *harness) countToldAll() {
+// flushRoom lets the messages about room reach both entries.
+func (h *harness) flushRoom() {
 	for range 2 {
-		b.pass(20 * time.Millisecond)
-		b.manager.Flush(b.now)
+		h.pass(20 * time.Millisecond)
+		h.controller.Flush(h.now)
 	}
 }
--- a/internal/agent/upstream/upstream.go
+++ b/internal/agent/upstream/upstream.go
@@ -1,9 +1,8 @@
-// Package upstream keeps an agent's account of the upstream beside it: which runs are there, what room is
-// left, and which entries still want their runs. It is a state machine without I/O and without a clock of its
-// own; one goroutine uses it.
+// Package upstream manages the runs on the upstream beside an agent: which runs are there, what room (free resources) is left, and which
+// entries still want their runs. It is a state machine without I/O and without a clock of its own; a single goroutine uses it.
 //
-// Only the agent starts tasks on its upstream, so its account decides whether a task fits. A run that is being
-// stopped, or whose start got no answer, counts as there until the upstream has said otherwise.
+// Only the agent starts tasks on its upstream, so the state kept here decides whether a task fits. A run that is being stopped, or whose
+// start got no answer, counts as present until the upstream's answers prove that it is not.
 package upstream
 
 import (
@@ -21,62 +20,65 @@
 	"hillreel/internal/core/rule"
 )
 
-// Entries sends to the entries that are linked.
+// Entries sends messages to the linked entries.
 type Entries interface {
 	Upstream(to ident.Incarnation, u fleet.Upstream)
 	Room(to ident.Incarnation, r fleet.Room)
 	End(to ident.Incarnation, e fleet.End)
-	// Resumed tells which runs of the entry's earlier session go on.
+	// Resumed lists the runs of the entry's earlier session that go on.
 	Resumed(to ident.Incarnation, runs []fleet.OrderedRun)
-	// Progress tells how the entry's runs get on while the upstream is slow.
+	// Progress reports how long the entry's runs will still take while the upstream is slow.
 	Progress(to ident.Incarnation, runs []fleet.Progress)
-	// Asked tells that all ends which a question is about have been told.
+	// EndsSent says that all ends that a query asked for have been sent.
 	EndsSent(to ident.Incarnation, number uint64)
+	// Settled says that no run of the entry's earlier sessions remains.
 	Settled(to ident.Incarnation)
-	// Holding tells which jobs another entry has held for long.
+	// Holding lists jobs that another entry has held for long.
 	Holding(to, holder ident.Incarnation, jobs []job.ID)
-	// Release asks the holder of a job to give it up.
+	// Release asks the holder of a job to give the job up.
 	Release(t fleet.Takeover)
-	// Released tells the entry that takes a job over that nothing of it remains.
+	// Released tells the entry that takes a job over that nothing of the job remains here.
 	Released(r fleet.Released)
-	// Lost tells all entries that an upstream was lost that runs were at, ahead of their ends.
+	// UpstreamLost tells all entries that an upstream with runs was lost, before they get the ends of the runs.
 	UpstreamLost(l Loss)
-	// Refuted tells all entries that a life has answered which was told as lost.
+	// LossRefuted tells all entries that a life that was reported as lost has answered.
 	LossRefuted(r fleet.Refutation)
 }
 
-// Observer is told of what changes the agent's beliefs, for logs and metrics.
+// Observer is called for decisions and changes of state, for logs and metrics.
 type Observer interface {
-	// Ended is called once for each run that an entry has ordered.
+	// RunEnded is called once for each run that an entry has ordered.
 	RunEnded(e Ending)
-	// State is called when the state told to entries changes, with what decided it.
+	// StateChanged is called when the state that is reported to entries changes; why is the fact that decided it.
 	StateChanged(from, to fleet.State, why string)
-	// Orphaned is called when the runs of a lost entry are stopped; late is how long ago its silence had lasted for Timing.Silence, zero if
-	// it has not.
+	// RunsOrphaned is called when the runs of a lost entry are stopped. late is how long ago the entry's silence reached Timing.Silence;
+	// zero if it has not.
 	RunsOrphaned(owner ident.Incarnation, runs int, why string, late time.Duration)
-	// Unconfirmed is called when a link with an entry has ended, with the ends of which it isn't known whether the entry has heard.
+	// EndsUnconfirmed is called when a link with an entry has ended, with the ends that the entry may not have received.
 	EndsUnconfirmed(owner ident.Incarnation, ends []fleet.End)
-	// Lapsed is called when the agent takes the lease of all runs for lapsed; late is for how long it surely was.
+	// LeaseLapsed is called when the agent concludes that the lease of all runs has lapsed; late is how long ago that became certain.
 	LeaseLapsed(late time.Duration)
-	// Outlived is called when a heartbeat came of a life that another has followed.
+	// HeartbeatOutlived is called when a heartbeat turns out to be from a life that has ended; by is the present life.
 	HeartbeatOutlived(life, by ident.UpstreamLife)
-	// Unsure is called when a start got no answer.
+	// StartUnsure is called when a start got no answer, or one that doesn't say whether the run was started.
 	StartUnsure(task job.TaskID, run job.Run)
-	// Begun is called when a life of the upstream is taken up, with what told of it. described is false if no heartbeat of it has come.
+	// LifeBegun is called when a life of the upstream becomes the present one; why says how the agent learned of it. described is false
+	// if no heartbeat of the life has arrived.
 	LifeBegun(life ident.UpstreamLife, why string, described bool)
-	// Dropped is called for a heartbeat whose number is below newest, that of the newest one.
+	// HeartbeatDropped is called for a heartbeat that is ignored because its number is below newest, the highest one received.
 	HeartbeatDropped(b lives.Heartbeat, newest uint64)
-	// Gated is called when an order is refused because the zone is cordoned.
+	// OrderGated is called when an order is refused because the zone is cordoned.
 	OrderGated(task job.TaskID, entry ident.Incarnation)
-	// Lost is called when an upstream is lost that runs were at.
+	// UpstreamLost is called when an upstream with runs is lost.
 	UpstreamLost(l Loss)
-	// Stray is called when the upstream lists a run that nobody here has ordered, which is then stopped, and when that has gone.
+	// StrayChanged is called when the upstream lists a run that the agent has no record of, which is then stopped, and again when that
+	// run is gone.
 	StrayChanged(r fleet.RunRef, event StrayEvent)
-	// Overtaken is called for a listing whose clock is older than that of one taken in before.
+	// ListingOvertaken is called for a listing whose clock is older than that of a listing applied before.
 	ListingOvertaken()
 }
 
-// StrayEvent is what becomes of a run that nobody here has ordered.
+// StrayEvent is a change of a stray: a run that the agent has no record of.
 type StrayEvent string
 
 // The events of strays.
@@ -85,7 +87,7 @@
 	StrayGone  StrayEvent = "stray_gone"
 )
 
-// Keeper is the account of one upstream.
+// Controller manages the runs on one upstream.
 type Controller struct {
 	timing   fleet.Timing
 	without  rule.Set
@@ -94,101 +96,106 @@
 	observer Observer
 	start    time.Time
 
-	// life is the upstream's present life, or the last one; known is false while there is none. What the account has of its upstream
-	// (numbers, clock, runs) is of that life alone.
+	// life is the upstream's present life, or its last one; hasLife is false while none is present. All numbers, clock readings and runs
+	// kept here belong to that life alone.
 	life    ident.UpstreamLife
 	hasLife bool
-	// up describes the upstream. It is that of an earlier life while described is false: no heartbeat of this one has come, and it
-	// may be of another kind.
+	// info describes the upstream. While described is false, no heartbeat of the present life has arrived, and info is that of an earlier
+	// life: the present one may be of another kind.
 	info      fleet.Upstream
 	described bool
-	// roomHeard is true once a heartbeat of the present life has told its room to this process.
+	// roomReported is true once a heartbeat of the present life has reported its room to this process.
 	roomReported bool
-	// began is when the present life, or the last one, was taken up.
+	// lifeBegan is when life became the present one.
 	lifeBegan time.Time
-	// lives has the other lives that were heard of.
+	// lives tracks the known lives other than the present one.
 	lives *lives.Tracker
-	// sequence is the newest heartbeat's number.
+	// lastSequence is the highest number of a heartbeat of the present life.
 	lastSequence uint64
-	// draining: this life of the upstream ends soon; departed: a word that it has ended came, perhaps a former life's; leaving: the
-	// agent ends.
+	// draining: the present life ends soon. saidEnded: a message has arrived that it has ended, which may be from a former life. leaving:
+	// the agent ends.
 	draining, saidEnded, leaving bool
 
 	// zone says whether operators have cordoned the VM's availability zone.
 	zone ZoneState
-	// owners says which entries hold jobs, and which may not order their tasks any more.
+	// owners tracks which entries hold jobs, and which may not order their tasks any more.
 	owners *owners.Registry
 
 	lease lease.Lease
-	// shared: the life before had the same id, so that calls to it may have reached this one.
+	// sharedID: the former life had the same id, so that calls for it may have reached the present one.
 	sharedID bool
-	// fence is the token from which on calls are of the present life's account.
+	// minToken is the lowest token of calls for the present life; answers to holds and polls with lower ones are ignored.
 	minToken call.Token
 	ends     ends.Tracker
-	// given are runs of kept jobs that were given up before their ends were listed.
+	// finishedUnlisted holds runs of kept jobs that were finished before their ends were listed.
 	finishedUnlisted map[fleet.RunRef]bool
-	// quietUntil is until when an earlier agent's lease may live: before, ends that it has left are not acknowledged.
+	// noAckUntil is the time until which the lease of an earlier agent may be in force. Before it, ends that the earlier agent has left
+	// are not acknowledged.
 	noAckUntil time.Time
 
-	// looked is false until a hold of this life was answered: before, it isn't known what runs.
+	// runsKnown is true once the present life has listed what runs.
 	runsKnown bool
-	// holding is true while a hold is under way, looking while a look is; after a failure, none is made before holdAt or lookAt.
-	holding, looking       bool
-	nextHoldAt, nextLookAt time.Time
-	// listed is the upstream's clock in the newest answer that was taken in: answers overtake each other.
+	// holding is true while a hold is in flight, polling while a poll is. After a failure, none is made before nextHoldAt or nextPollAt.
+	holding, polling       bool
+	nextHoldAt, nextPollAt time.Time
+	// listedClock is the upstream's clock in the newest listing that was applied: answers may arrive out of order.
 	listedClock call.Clock
-	// failures counts the holds in a row that got no answer; answered is when the last one was made that got one.
+	// failedHolds counts the consecutive holds without a usable answer. answeredHoldSentAt is when the newest hold or poll that was
+	// answered had been sent.
 	failedHolds        int
 	answeredHoldSentAt time.Time
-	// heardAt is when the present life has answered last, whatever it was asked.
+	// lastAnswerAt is when the last answer of the present life was handled, whatever the call.
 	lastAnswerAt time.Time
-	// livedAt is when it surely lived last: earlier, where its answer may have waited while this process stood still.
+	// lastAliveAt is when the present life was last certainly alive. It is earlier than lastAnswerAt if the answer may have waited while
+	// this process stood still.
 	lastAliveAt time.Time
-	// questions are those of entries that wait until nothing of the jobs in question runs here.
+	// endsQueries holds the queries of entries that wait until nothing of the queried jobs runs here.
 	endsQueries []endsQuery
-	// strays are runs at the upstream that nobody here ordered, with when a stop of each was answered; zero is not yet.
+	// strays holds the runs at the upstream that the agent has no record of, with the time when a stop of each was answered; zero if none
+	// was.
 	strays map[fleet.RunRef]time.Time
 
 	runs map[job.TaskID]*run
-	// aloneRun is the run that is alone, aloneOrder the order that is to be; each nil if there is none.
+	// aloneRun is the run that is alone, aloneOrder the order that waits to be started alone; each is nil if there is none.
 	aloneRun   *run
 	aloneOrder *aloneOrder
-	// lost refutes the loss that was told last, should its life answer.
+	// lastLoss identifies the last reported loss, to be refuted if the life answers.
 	lastLoss fleet.Refutation
 
 	sessions map[ident.Incarnation]*session
-	// order lists the sessions from the oldest on, so that runs of the state machine repeat.
+	// sessionOrder lists the sessions from the oldest to the newest, so that the state machine is deterministic.
 	sessionOrder []*session
 	health       health.Health
-	// coldUntil is until when the upstream is slow from its start, as it has said; cold is whether it was when time passed last.
+	// coldUntil is when the upstream's warm-up ends, as its heartbeats say. cold is whether it was warming up at the last check.
 	coldUntil time.Time
 	cold      bool
-	// idleSince is when a run ended last.
+	// idleSince is when the last run ended.
 	idleSince time.Time
-	// median is the median of all upstreams' paces, as an entry told it last; slowTold is when entries were told last
-	// how runs get on while this one is slow.
+	// medianPace is the median of all upstreams' paces, as an entry last reported it. progressSentAt is when progress was last reported
+	// to entries.
 	medianPace     float64
 	progressSentAt time.Time
-	// newsAt is when an entry was told of room in its turn; turn is the place in order of the next one.
+	// roomTurnAt is when an entry last got a message about room in its turn. The search for the next entry begins at the index roomTurn
+	// of sessionOrder.
 	roomTurnAt time.Time
 	roomTurn   int
-	// told is the state that entries were told last.
+	// announcedState is the state that was last reported to entries.
 	announcedState fleet.State
 }
 
-// phase is where a run stands.
+// phase says what is known of the start of a run.
 type phase string
 
 const (
-	// starting: the start has no answer yet.
+	// starting: the start call has no answer yet.
 	starting phase = "starting"
-	// unsure: the start got no answer, so that the run may be there.
+	// unsure: the start call got no answer that says whether the run was started, so that the run may be there.
 	unsure phase = "unsure"
-	// running: the upstream has taken the start, or lists the run.
+	// running: the upstream has accepted the start, or lists the run.
 	running phase = "running"
 )
 
-// run is one run at the upstream.
+// run is the state of one run at the upstream.
 type run struct {
 	task      job.TaskID
 	number    job.Run
@@ -198,77 +205,80 @@
 	spec      string
 	resources job.Resources
 	estimate  time.Duration
-	// earlier counts failures of the job before this run.
+	// priorFailures counts the failures of the job before this run.
 	priorFailures uint32
 	checkpoint    string
 	kept          bool
-	// alone is for how long after its start nothing else is started.
+	// aloneFor is for how long after its start nothing else is started.
 	aloneFor time.Duration
 
 	phase     phase
 	startedAt time.Time
-	// sure is from when on a hold that does not list the run proves that it is not there.
+	// provableFrom is the time from which on the upstream's listings are conclusive: a hold or poll that was sent after it and doesn't
+	// list the run proves that the run is not there.
 	provableFrom time.Time
 
-	// percent is how much of its work is done, advanced when that last grew.
+	// percent is the run's progress, progressAt when it last rose.
 	percent    int
 	progressAt time.Time
 
-	// listed: the upstream's present life has listed it; carried: it was ordered of a former life under the same id, and may be at
-	// either.
+	// listed: the present life has listed the run. fromFormerLife: the run was ordered under a former life with the same id, and may be
+	// at either.
 	listed, fromFormerLife bool
-	// stop is nil until the run is to be stopped.
+	// stop is nil unless the run is to be stopped.
 	stop *stopState
-	// next waits for this run's end: the same task, ordered anew.
+	// successor is an order for the same task that waits for the end of this run.
 	successor *pendingOrder
 }
 
-// ref names the run to the upstream.
+// ref returns the reference to the run in calls to the upstream.
 func (r *run) ref() fleet.RunRef { return fleet.RunRef{Task: r.task, Run: r.number} }
 
-// ordered names the run to its owner.
+// ordered returns the reference to the run in messages to its owner.
 func (r *run) ordered() fleet.OrderedRun { return fleet.OrderedRun{RunRef: r.ref(), ID: r.id} }
 
-// stopping says why and since when a run is being stopped.
+// stopState says why and since when a run is being stopped.
 type stopState struct {
 	outcome job.Outcome
 	reason  fleet.Reason
 	cause   StopCause
-	// asked is when the stop began, since from when on the run was to be stopped as urgently as it is, sent when a stop call was made last.
+	// askedAt is when the stop began, urgentSince since when the run has been stopped as urgently as now, sentAt when the last stop call
+	// was made.
 	askedAt, urgentSince, sentAt time.Time
-	// calling is true while a stop call is under way.
+	// inFlight is true while a stop call is in flight.
 	inFlight bool
-	// acked is when one was answered first; zero is not yet.
+	// ackedAt is when a stop call was first answered; zero if none was.
 	ackedAt time.Time
-	// unwanted is true when the caller may send the job elsewhere, because it or its entry has gone: then the run
-	// must end soon, whatever it takes.
+	// unwanted is true if the caller may send the job to another entry, because the caller or its entry is gone. The run must then end
+	// within a bounded time, if need be by letting the lease lapse.
 	unwanted bool
 }
 
-// waiting is an order for a task that still runs here for somebody else.
+// pendingOrder is an order for one task that is being handled, or that waits: for the end of another run of the task, or to be started
+// alone.
 type pendingOrder struct {
 	owner ident.Incarnation
 	epoch uint64
 	order fleet.Order
 	index int
-	// ready: its task was to be started alone, and now can be.
+	// readyAlone: the task was to be started alone, and now it can be.
 	readyAlone bool
 }
 
-// ordered names the run that waits to its owner.
-func (w *pendingOrder) ordered() fleet.OrderedRun {
-	t := w.order.Tasks[w.index]
-	return fleet.OrderedRun{RunRef: fleet.RunRef{Task: w.order.Task(w.index), Run: t.Run}, ID: t.ID}
+// ordered returns the reference to the ordered run in messages to its owner.
+func (p *pendingOrder) ordered() fleet.OrderedRun {
+	t := p.order.Tasks[p.index]
+	return fleet.OrderedRun{RunRef: fleet.RunRef{Task: p.order.Task(p.index), Run: t.Run}, ID: t.ID}
 }
 
-// Caller makes calls to the upstream. Each is answered later by StartDone, StopDone or HoldDone.
+// Caller makes calls to the upstream. Each call is answered later by StartDone, StopDone or HoldDone.
 type Caller interface {
 	Start(c call.Start)
 	Stop(c call.Stop)
 	Hold(c call.Hold)
 }
 
-// New returns a Keeper that knows nothing yet. without leaves out safety rules, for experiments only.
+// New returns a Controller that doesn't know its upstream yet. without leaves out safety rules, for experiments only.
 func New(t fleet.Timing, without rule.Set, now time.Time, c Caller, e Entries, o Observer) *Controller {
 	return &Controller{
 		timing: t, without: without, caller: c, entries: e, observer: o, start: now, lease: lease.New(t.Lease, now), lives: lives.New(),
@@ -282,21 +292,21 @@
 	}
 }
 
-// uptime is the agent's steady clock.
-func (k *Controller) uptime(now time.Time) time.Duration { return now.Sub(k.start) }
+// uptime returns the agent's steady clock.
+func (u *Controller) uptime(now time.Time) time.Duration { return now.Sub(u.start) }
 
-// header returns what every call made now carries.
-func (k *Controller) header(now time.Time) call.Header {
-	return call.Header{Instance: k.life.ID, Born: k.life.Born, Token: k.lease.Token(), Sent: now}
+// header returns the header of a call that is made now.
+func (u *Controller) header(now time.Time) call.Header {
+	return call.Header{Instance: u.life.ID, Born: u.life.Born, Token: u.lease.Token(), Sent: now}
 }
 
-// Runs returns how many runs are, or may be, at the upstream.
-func (k *Controller) RunCount() int { return len(k.runs) }
+// RunCount returns how many runs are, or may be, at the upstream.
+func (u *Controller) RunCount() int { return len(u.runs) }
 
-// Leave makes the agent take no more work.
-func (k *Controller) Leave() { k.leaving = true; k.markAllDirty() }
+// Leave makes the agent accept no more work.
+func (u *Controller) Leave() { u.leaving = true; u.markAllDirty() }
 
-// Known returns what is known of the upstream, and whether a heartbeat of its present life has been heard.
-func (k *Controller) Snapshot() (lives.Snapshot, bool) {
-	return lives.Snapshot{Upstream: k.info, Born: k.life.Born, Draining: k.draining}, k.hasLife && k.described
+// Snapshot returns what is known of the upstream, and whether a heartbeat of its present life has arrived.
+func (u *Controller) Snapshot() (lives.Snapshot, bool) {
+	return lives.Snapshot{Upstream: u.info, Born: u.life.Born, Draining: u.draining}, u.hasLife && u.described
 }
--- a/internal/agent/upstream/zone.go
+++ b/internal/agent/upstream/zone.go
@@ -10,31 +10,31 @@
 
 // The states of a zone.
 const (
-	// ZoneUnknown: nobody has told yet. Nothing is started: the cordon may be as old as the region.
+	// ZoneUnknown: it is not known yet. Nothing is started, since the zone may have been cordoned long ago.
 	ZoneUnknown ZoneState = "unknown"
-	// ZoneOpen: it is not cordoned. A new Keeper takes this for granted.
+	// ZoneOpen: the zone is not cordoned. A new Controller begins in this state.
 	ZoneOpen ZoneState = "open"
-	// ZoneCordoned: nothing new is started; what runs goes on to its end.
+	// ZoneCordoned: no task is started; present runs go on to their ends.
 	ZoneCordoned ZoneState = "cordoned"
 )
 
-// SetZone notes what is known of the zone. The agent is the last to decide: an entry that has not heard of a cordon goes on
-// ordering, and is told with the refusal.
-func (k *Controller) SetZone(s ZoneState) {
-	if s == k.zone {
+// SetZone sets what is known of the zone. The agent makes the final check: an entry that doesn't know of a cordon yet goes on ordering,
+// and learns of the cordon by the refusal.
+func (u *Controller) SetZone(s ZoneState) {
+	if s == u.zone {
 		return
 	}
-	k.zone = s
-	k.markAllDirty()
+	u.zone = s
+	u.markAllDirty()
 }
 
-// cordoned tells whether nothing may be started for the zone's sake.
-func (k *Controller) isCordoned() bool {
-	return k.zone == ZoneCordoned && !k.without.Has(rule.CordonGate)
+// isCordoned reports whether nothing may be started because the zone is cordoned.
+func (u *Controller) isCordoned() bool {
+	return u.zone == ZoneCordoned && !u.without.Has(rule.CordonGate)
 }
 
-// gate refuses an order because the zone is cordoned. Nothing was begun, so that the task can be placed elsewhere at once.
-func (k *Controller) refuseCordoned(w pendingOrder) {
-	k.observer.OrderGated(w.order.Task(w.index), w.owner)
-	k.refuse(w, fleet.ZoneCordoned)
+// refuseCordoned refuses an order because the zone is cordoned. Nothing was started, so that the task can be placed elsewhere at once.
+func (u *Controller) refuseCordoned(p pendingOrder) {
+	u.observer.OrderGated(p.order.Task(p.index), p.owner)
+	u.refuse(p, fleet.ZoneCordoned)
 }
--- a/internal/agent/upstream/zone_test.go
+++ b/internal/agent/upstream/zone_test.go
@@ -12,88 +12,89 @@
 	"hillreel/internal/core/job"
 )
 
-// TestCordonedZone: the agent is the last to decide. An order of an entry that has not heard of the cordon is refused as not begun, and
-// what runs goes on to its end.
+// TestCordonedZone: the agent makes the final check for cordons. It refuses an order of an entry that doesn't know of the cordon as not
+// started, and present runs go on to their ends.
 func TestCordonedZone(t *testing.T) {
-	b := newHarness(t, nil)
-	b.order(one, 1)
-	qt.Assert(t, b.starts, qt.HasLen, 1)
-	b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
-	b.manager.SetZone(upstream.ZoneCordoned)
-	b.manager.Flush(b.now)
-	qt.Assert(t, b.rooms[two].State, qt.Equals, fleet.Cordoned)
-	b.manager.Order(b.now, two, fleet.Order{
+	h := newHarness(t, nil)
+	h.order(one, 1)
+	qt.Assert(t, h.starts, qt.HasLen, 1)
+	h.controller.StartDone(h.now, h.starts[0], call.OK, h.clock())
+	h.controller.SetZone(upstream.ZoneCordoned)
+	h.controller.Flush(h.now)
+	qt.Assert(t, h.rooms[two].State, qt.Equals, fleet.Cordoned)
+	h.controller.Order(h.now, two, fleet.Order{
 		Seq: 1, Job: jobID + 1, Each: job.Resources{CPU: 1000}, Estimate: time.Second, Tasks: []fleet.TaskRun{{Run: 1}},
 	})
-	qt.Assert(t, b.starts, qt.HasLen, 1)
-	qt.Assert(t, b.stops, qt.HasLen, 0)
-	qt.Assert(t, b.ends[two], qt.HasLen, 1)
-	qt.Assert(t, b.ends[two][0].Outcome, qt.Equals, job.NotStarted)
-	qt.Assert(t, b.ends[two][0].Reason, qt.Equals, fleet.ZoneCordoned)
-	qt.Assert(t, b.manager.RunCount(), qt.Equals, 1)
+	qt.Assert(t, h.starts, qt.HasLen, 1)
+	qt.Assert(t, h.stops, qt.HasLen, 0)
+	qt.Assert(t, h.ends[two], qt.HasLen, 1)
+	qt.Assert(t, h.ends[two][0].Outcome, qt.Equals, job.NotStarted)
+	qt.Assert(t, h.ends[two][0].Reason, qt.Equals, fleet.ZoneCordoned)
+	qt.Assert(t, h.controller.RunCount(), qt.Equals, 1)
 
-	b.manager.SetZone(upstream.ZoneOpen)
-	b.manager.Flush(b.now)
-	qt.Assert(t, b.rooms[two].State, qt.Equals, fleet.Ready)
-	b.manager.Order(b.now, two, fleet.Order{
+	h.controller.SetZone(upstream.ZoneOpen)
+	h.controller.Flush(h.now)
+	qt.Assert(t, h.rooms[two].State, qt.Equals, fleet.Ready)
+	h.controller.Order(h.now, two, fleet.Order{
 		Seq: 2, Job: jobID + 1, Each: job.Resources{CPU: 1000}, Estimate: time.Second, Tasks: []fleet.TaskRun{{Run: 2}},
 	})
-	qt.Assert(t, b.starts, qt.HasLen, 2)
+	qt.Assert(t, h.starts, qt.HasLen, 2)
 }
 
-// TestCordonMeetsWaitingOrder: an order that waits for the end of an earlier run of its task is refused when that comes after the cordon.
+// TestCordonMeetsWaitingOrder: an order that waits for the end of an earlier run of its task is refused if that end comes after the
+// cordon.
 func TestCordonMeetsWaitingOrder(t *testing.T) {
-	b := newHarness(t, nil)
-	b.order(one, 1)
-	b.manager.StartDone(b.now, b.starts[0], call.OK, b.clock())
-	b.order(two, 2)
-	qt.Assert(t, b.ends[two], qt.HasLen, 0)
-	b.manager.SetZone(upstream.ZoneCordoned)
-	b.manager.StopDone(b.now, b.stops[0], call.OK, b.clock())
-	for range 2 { // the first answer was asked for before the stop was answered, and proves nothing
-		b.pass(time.Millisecond)
-		b.answerHolds()
+	h := newHarness(t, nil)
+	h.order(one, 1)
+	h.controller.StartDone(h.now, h.starts[0], call.OK, h.clock())
+	h.order(two, 2)
+	qt.Assert(t, h.ends[two], qt.HasLen, 0)
+	h.controller.SetZone(upstream.ZoneCordoned)
+	h.controller.StopDone(h.now, h.stops[0], call.OK, h.clock())
+	for range 2 { // the first hold was sent before the stop was answered, and proves nothing
+		h.pass(time.Millisecond)
+		h.answerHolds()
 	}
-	qt.Assert(t, b.starts, qt.HasLen, 1)
-	qt.Assert(t, b.ends[two], qt.HasLen, 1)
-	qt.Assert(t, b.ends[two][0].Reason, qt.Equals, fleet.ZoneCordoned)
+	qt.Assert(t, h.starts, qt.HasLen, 1)
+	qt.Assert(t, h.ends[two], qt.HasLen, 1)
+	qt.Assert(t, h.ends[two][0].Reason, qt.Equals, fleet.ZoneCordoned)
 }
 
-// TestCordonMeetsFencedStart: a start that the upstream has refused for its token's sake is not sent again after the cordon.
+// TestCordonMeetsFencedStart: a start that the upstream has refused because of its token is not sent again after the cordon.
 func TestCordonMeetsFencedStart(t *testing.T) {
-	b := newHarness(t, nil)
-	b.order(one, 1)
-	b.manager.SetZone(upstream.ZoneCordoned)
-	b.manager.StartDone(b.now, b.starts[0], call.Fenced, 0)
-	qt.Assert(t, b.starts, qt.HasLen, 1)
-	qt.Assert(t, b.ends[one], qt.HasLen, 1)
-	qt.Assert(t, b.ends[one][0].Outcome, qt.Equals, job.NotStarted)
-	qt.Assert(t, b.ends[one][0].Reason, qt.Equals, fleet.ZoneCordoned)
-	qt.Assert(t, b.manager.RunCount(), qt.Equals, 0)
+	h := newHarness(t, nil)
+	h.order(one, 1)
+	h.controller.SetZone(upstream.ZoneCordoned)
+	h.controller.StartDone(h.now, h.starts[0], call.Fenced, 0)
+	qt.Assert(t, h.starts, qt.HasLen, 1)
+	qt.Assert(t, h.ends[one], qt.HasLen, 1)
+	qt.Assert(t, h.ends[one][0].Outcome, qt.Equals, job.NotStarted)
+	qt.Assert(t, h.ends[one][0].Reason, qt.Equals, fleet.ZoneCordoned)
+	qt.Assert(t, h.controller.RunCount(), qt.Equals, 0)
 }
 
-// TestUnknownZone: before anybody has said which zones are cordoned, nothing starts.
+// TestUnknownZone: nothing is started before it is known which zones are cordoned.
 func TestUnknownZone(t *testing.T) {
-	b := newHarness(t, nil)
-	b.manager.SetZone(upstream.ZoneUnknown)
-	b.order(one, 1)
-	qt.Assert(t, b.starts, qt.HasLen, 0)
-	qt.Assert(t, b.ends[one][0].Reason, qt.Equals, fleet.NotAccepting)
-	qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Clearing)
+	h := newHarness(t, nil)
+	h.controller.SetZone(upstream.ZoneUnknown)
+	h.order(one, 1)
+	qt.Assert(t, h.starts, qt.HasLen, 0)
+	qt.Assert(t, h.ends[one][0].Reason, qt.Equals, fleet.NotAccepting)
+	qt.Assert(t, h.rooms[one].State, qt.Equals, fleet.Clearing)
 }
 
-// TestCordonedSuspect: an upstream under suspicion gets no probes while its zone is cordoned.
+// TestCordonedSuspect: a suspect upstream gets no probes while its zone is cordoned.
 func TestCordonedSuspect(t *testing.T) {
-	b := newHarness(t, nil)
+	h := newHarness(t, nil)
 	for run := range job.Run(4) {
-		b.order(one, run+1)
-		b.manager.StartDone(b.now, b.starts[len(b.starts)-1], call.Declined, 0)
+		h.order(one, run+1)
+		h.controller.StartDone(h.now, h.starts[len(h.starts)-1], call.Declined, 0)
 	}
-	b.pass(time.Second)
-	b.manager.Flush(b.now)
-	qt.Assert(t, b.rooms[one].State == fleet.Probing || b.rooms[two].State == fleet.Probing, qt.IsTrue)
-	b.manager.SetZone(upstream.ZoneCordoned)
-	b.manager.Flush(b.now)
-	qt.Assert(t, b.rooms[one].State, qt.Equals, fleet.Cordoned)
-	qt.Assert(t, b.rooms[two].State, qt.Equals, fleet.Cordoned)
+	h.pass(time.Second)
+	h.controller.Flush(h.now)
+	qt.Assert(t, h.rooms[one].State == fleet.Probing || h.rooms[two].State == fleet.Probing, qt.IsTrue)
+	h.controller.SetZone(upstream.ZoneCordoned)
+	h.controller.Flush(h.now)
+	qt.Assert(t, h.rooms[one].State, qt.Equals, fleet.Cordoned)
+	qt.Assert(t, h.rooms[two].State, qt.Equals, fleet.Cordoned)
 }
