--- a/internal/agent/upstream/health_test.go
+++ b/internal/agent/upstream/health_test.go
@@ -100,8 +100,8 @@
 		name   string
 		median float64
 		// percent is the progress in each 50 ms of a run with an estimate of 1 s.
-		percent int
-		told    bool
+		percent  int
+		reported bool
 	}{
 		{"as fast as others", 1, 5, false},
 		{"slow", 1, 1, true},
@@ -118,8 +118,8 @@
 				h.answerHolds(call.Running{Task: task, Run: 1, Percent: (i + 1) * test.percent})
 				h.controller.Flush(h.now)
 			}
-			qt.Assert(t, len(h.progress) > 0, qt.Equals, test.told)
-			if test.told {
+			qt.Assert(t, len(h.progress) > 0, qt.Equals, test.reported)
+			if test.reported {
 				last := h.progress[len(h.progress)-1]
 				qt.Assert(t, last.RunRef, qt.Equals, fleet.RunRef{Task: task, Run: 1})
 				qt.Assert(t, last.Left > 3*time.Second && last.Left < 6*time.Second, qt.IsTrue, qt.Commentf("%v", last.Left))
--- a/internal/agent/upstream/life.go
+++ b/internal/agent/upstream/life.go
@@ -19,7 +19,8 @@
 // heartbeats of the new one as out of order, ignore that it drains, and acknowledge ends before they are listed. So all state here
 // belongs to one life. Only the upstream's own answers decide which life is present, because heartbeats may be delayed.
 
-// Heartbeat handles a heartbeat.
+// Heartbeat handles a heartbeat. One of an ended life is ignored, and one of the present life is applied. One of any other life is a
+// claim until the upstream has confirmed it; while no life is present, the life of the heartbeat becomes the present one at once.
 func (u *Controller) Heartbeat(now time.Time, b lives.Heartbeat) {
 	if u.without.Has(rule.LifeBorn) {
 		b.Born = 0
@@ -250,7 +251,7 @@
 // UpstreamLeft handles an upstream's message that it has ended. The upstream sends it shortly before it ends, or seconds before if the
 // acknowledgement is lost. The message doesn't say which life sent it: where lives share an id, it may be a delayed one of a former life.
 // So the present life gets no more work until its next heartbeat, and its runs are lost only once their lease has lapsed or another life
-// answers.
+// answers. Where lives differ in their ids, a life without runs ends at once.
 func (u *Controller) UpstreamLeft(now time.Time, id ident.UpstreamID) {
 	switch {
 	case !u.hasLife || u.life.ID != id:
--- a/internal/agent/upstream/upstream.go
+++ b/internal/agent/upstream/upstream.go
@@ -41,7 +41,7 @@
 	Released(r fleet.Released)
 	// UpstreamLost tells all entries that an upstream with runs was lost, before they get the ends of the runs.
 	UpstreamLost(l Loss)
-	// LossRefuted tells all entries that a life that was reported as lost has answered.
+	// LossRefuted tells all entries that a life has answered after it was reported as lost.
 	LossRefuted(r fleet.Refutation)
 }
 
--- a/internal/agent/upstream/upstream_test.go
+++ b/internal/agent/upstream/upstream_test.go
@@ -257,10 +257,10 @@
 		h.controller.Heartbeat(h.now, lives.Heartbeat{
 			Upstream: fleet.Upstream{ID: "u-1", Service: "publish", Total: job.Resources{CPU: int64(3000 + i)}}, Sequence: uint64(2 + i),
 		})
-		for told := 0; told < entries; told++ {
+		for sent := 0; sent < entries; sent++ {
 			h.controller.Flush(h.now)
-			qt.Assert(t, h.roomMessages <= told+1, qt.IsTrue, qt.Commentf("%d messages at once", h.roomMessages-told))
-			if told == 0 {
+			qt.Assert(t, h.roomMessages <= sent+1, qt.IsTrue, qt.Commentf("%d messages at once", h.roomMessages-sent))
+			if sent == 0 {
 				for e := range h.rooms {
 					first[e]++
 				}
