--- a/internal/entry/admission/admission.go
+++ b/internal/entry/admission/admission.go
@@ -1,89 +1,94 @@
-// Package admission decides how long a job waits for room until it is refused, and when it goes among others that wait.
+// Package admission decides how long a job waits for capacity before it is refused, and its place among waiting jobs.
 //
-// It takes what a job asks for and how the entry stands, and never lets a caller wait for longer than it could be served in time, but for
-// kept jobs, which are not refused.
+// The decision depends on the job's requirements and the entry's state. No caller waits longer than its job could still be
+// served in time. Kept jobs are an exception, since they are not refused.
 package admission
 
 import "time"
 
-// Wish is what a job asks for.
+// Job holds the properties of a job that the decision depends on.
 type Job struct {
-	// Objective is the time within which it is to end, Chain the estimated time of its longest chain of steps.
+	// Objective is the time within which the job should end. CriticalPath is the estimated time of its longest chain of
+	// steps.
 	Objective, CriticalPath time.Duration
-	// Left is how long its caller still waits; zero is for ever.
+	// CallerWait is how much longer the job's caller waits; zero means no limit.
 	CallerWait time.Duration
-	// Tasks is how many it has.
+	// Tasks is the job's number of tasks.
 	Tasks int
-	// Kept: it outlives its callers, and is not refused for want of room. SentBefore: its caller was told before to come back.
+	// Kept is set for a job that outlives its callers and is not refused for lack of capacity. Resent is set if the job's
+	// caller was refused before and told when to try again.
 	Kept, Resent bool
 }
 
-// State is how the entry stands.
+// State is the state of the entry.
 type State struct {
 	// Pace is the median of the upstreams' paces.
 	Pace float64
-	// Pressure is how much more than what fits was lately asked for, from 0 to 1.
+	// Pressure is how much recent demand has exceeded capacity, from 0 to 1.
 	Pressure float64
-	// Ready: an upstream takes work.
+	// Ready is set if an upstream accepts work.
 	Ready bool
 }
 
-// Wait is a decision: for how long a job waits until it is refused, and within which time it should go, by which those that wait are ordered.
+// Decision is the result of Decide. MaxWait is how long the job waits before it is refused. PlaceWithin is the time within
+// which it should be placed; waiting jobs are ordered by it.
 type Decision struct{ MaxWait, PlaceWithin time.Duration }
 
-// RefusedRetry is when a refused caller may come back: as long as a burst's queue takes to drain, about the
+// RefusedRetry is when a refused caller may try again. It is the time that a burst's queue takes to drain, about the
 // objective of the longest kind of job that either user sends.
 const RefusedRetry = time.Second
 
 const (
-	// waitShare: a job waits for room for the fourth part of its objective, which a burst's queue takes to drain.
+	// waitDivisor: a job waits for capacity for one fourth of its objective, the time that a burst's queue takes to drain.
 	waitDivisor = 4
-	// answerTime is what of an objective goes to networks and to handling a job: 3 ms each way to callers, and as much
-	// for two hops inside.
+	// answerTime is the part of an objective that networks and the handling of a job need: 3 ms each way to the caller, and
+	// as much for two internal hops.
 	answerTime = 10 * time.Millisecond
-	// pressedWait is how long a job waits at least where more is asked than fits for long. A longer wait brings nobody room there: it
-	// decides who gets it, those who may wait longest; and 25 ms of queue keep all room in use.
+	// minWait is the minimum time that a job waits while demand exceeds capacity for long. A longer wait would not gain
+	// anyone capacity. It would only favor the jobs that may wait longest. A queue of 25 ms keeps all capacity in use.
 	minWait = 25 * time.Millisecond
-	// placeEach is how much earlier than another a job goes for each of its tasks. An entry finds room for one more task each
-	// few milliseconds while upstreams are full, and a job is as late as its last task.
+	// leadPerTask is how much earlier a job is placed for each of its tasks. While upstreams are full, an entry finds
+	// capacity for one more task every few milliseconds, and a job is as late as its last task.
 	leadPerTask = 3 * time.Millisecond
-	// estimateError is how much longer than estimated a run may take: estimates are off by 40%.
+	// estimateError is the factor by which a run may exceed its estimate: estimates are off by 40%.
 	estimateError = 1.5
 )
 
-// Decide decides how long a job waits.
-func Decide(w Job, s State) Decision {
-	wait := firstWait(w, s)
-	d := Decision{MaxWait: wait, PlaceWithin: wait - leadTime(w)}
+// Decide returns how long a job waits for capacity and when it should be placed.
+func Decide(j Job, s State) Decision {
+	wait := firstWait(j, s)
+	d := Decision{MaxWait: wait, PlaceWithin: wait - leadTime(j)}
 	switch {
-	case w.Kept:
-		d.MaxWait = max(wait, w.Objective/waitDivisor)
-	case w.Resent:
-		d.MaxWait = max(wait, resentWait(w, s))
+	case j.Kept:
+		d.MaxWait = max(wait, j.Objective/waitDivisor)
+	case j.Resent:
+		d.MaxWait = max(wait, resentWait(j, s))
 	}
 	return d
 }
 
-// patience is how long a job that was not sent before waits for room.
-func firstWait(w Job, s State) time.Duration {
-	share := w.Objective / waitDivisor
+// firstWait returns how long a job that was not resent waits for capacity.
+func firstWait(j Job, s State) time.Duration {
+	share := j.Objective / waitDivisor
 	if !s.Ready {
-		// After an outage upstreams come back within moments: as long as the job can be in time, it waits for them.
-		spare := w.Objective - time.Duration(s.Pace*float64(w.CriticalPath)) - answerTime
+		// After an outage upstreams become ready again within moments. The job waits for them for as long as it can still
+		// be in time.
+		spare := j.Objective - time.Duration(s.Pace*float64(j.CriticalPath)) - answerTime
 		return max(spare, share)
 	}
-	least := min(share, minWait)
-	return share - time.Duration(s.Pressure*float64(share-least))
+	minimum := min(share, minWait)
+	return share - time.Duration(s.Pressure*float64(share-minimum))
 }
 
-// lead is by how much a job goes ahead of others for its width: at most as long as it may wait on a calm day.
-func leadTime(w Job) time.Duration {
-	return min(time.Duration(w.Tasks)*leadPerTask, w.Objective/waitDivisor)
+// leadTime returns how much earlier than others a job is placed because of its number of tasks. It is at most the time that
+// the job waits without pressure.
+func leadTime(j Job) time.Duration {
+	return min(time.Duration(j.Tasks)*leadPerTask, j.Objective/waitDivisor)
 }
 
-// again is how long a job that was sent before waits for room behind others: as long as its refusal would tell its caller to stay
-// away, if it can end before its caller leaves.
-func resentWait(w Job, s State) time.Duration {
-	spare := w.CallerWait - time.Duration(estimateError*s.Pace*float64(w.CriticalPath)) - answerTime
+// resentWait returns how long a resent job waits for capacity behind the others: as long as a refusal would tell its caller
+// to stay away, provided that the job can end before its caller leaves.
+func resentWait(j Job, s State) time.Duration {
+	spare := j.CallerWait - time.Duration(estimateError*s.Pace*float64(j.CriticalPath)) - answerTime
 	return min(RefusedRetry, spare)
 }
