--- a/internal/entry/placement/placement.go
+++ b/internal/entry/placement/placement.go
@@ -1,44 +1,48 @@
-// Package choice decides to which of the upstreams that could take a task it goes.
+// Package placement selects the upstream for a task.
 //
-// It takes the candidates, whether one may be taken, and what one costs, and never takes one that may not be.
+// The caller supplies the candidates, a function that tells whether a candidate may be selected, and a cost function. A
+// candidate that may not be selected never is.
 package placement
 
 import "math/rand/v2"
 
-// draws is how many upstreams that could take a task are rated for it, from a place in their order that is drawn. Entries that rate all of
-// them find the same one the cheapest and race for its room. It also ends the look at all upstreams, once three have room.
+// sampleSize is how many eligible upstreams are rated for a task, starting at a random position in their order. If all
+// entries rated all upstreams, they would find the same cheapest one and race for its capacity. The sample also ends the
+// search early, once three upstreams have capacity.
 const sampleSize = 3
 
-// fewUpstreams is up to how many upstreams all are rated: of few, the emptiest is seldom among those that are drawn.
+// fewUpstreams is the number of upstreams up to which all are rated. Among few upstreams, a random sample would often miss
+// the emptiest.
 const fewUpstreams = 24
 
-// Cheapest returns the cheapest of those that may be taken, or the zero A while there is none. The first of equally cheap ones is taken.
-func Cheapest[A comparable](among []A, may func(A) bool, cost func(A) float64) A {
-	return cheapest(among, 0, len(among), may, cost)
+// Cheapest returns the cheapest of the eligible candidates, the first one among equals, or the zero value of A if none is
+// eligible.
+func Cheapest[A comparable](candidates []A, eligible func(A) bool, cost func(A) float64) A {
+	return cheapest(candidates, 0, len(candidates), eligible, cost)
 }
 
-// Drawn is like Cheapest, but of many it rates a few, which it draws.
-func CheapestOfSample[A comparable](rng *rand.Rand, among []A, may func(A) bool, cost func(A) float64) A {
-	if len(among) <= fewUpstreams {
-		return Cheapest(among, may, cost)
+// CheapestOfSample is like Cheapest, but rates only a random sample if there are many candidates.
+func CheapestOfSample[A comparable](rng *rand.Rand, candidates []A, eligible func(A) bool, cost func(A) float64) A {
+	if len(candidates) <= fewUpstreams {
+		return Cheapest(candidates, eligible, cost)
 	}
-	return cheapest(among, rng.IntN(len(among)), sampleSize, may, cost)
+	return cheapest(candidates, rng.IntN(len(candidates)), sampleSize, eligible, cost)
 }
 
-// cheapest rates some, from a place on.
-func cheapest[A comparable](among []A, first, most int, may func(A) bool, cost func(A) float64) A {
+// cheapest rates up to limit eligible candidates, starting at index first, and returns the cheapest.
+func cheapest[A comparable](candidates []A, first, limit int, eligible func(A) bool, cost func(A) float64) A {
 	var best, none A
 	var bestCost float64
-	for i := range among {
-		a := among[(first+i)%len(among)]
-		if !may(a) {
+	for i := range candidates {
+		a := candidates[(first+i)%len(candidates)]
+		if !eligible(a) {
 			continue
 		}
 		c := cost(a)
 		if best == none || c < bestCost {
 			best, bestCost = a, c
 		}
-		if most--; most == 0 {
+		if limit--; limit == 0 {
 			break
 		}
 	}
--- a/internal/entry/placement/placement_test.go
+++ b/internal/entry/placement/placement_test.go
@@ -26,10 +26,10 @@
 		may   func(int) bool
 		want  int
 	}{
-		{"none", nil, func(int) bool { return true }, 0},
-		{"none may", upTo(9), func(int) bool { return false }, 0},
+		{"no candidates", nil, func(int) bool { return true }, 0},
+		{"none eligible", upTo(9), func(int) bool { return false }, 0},
 		{"the cheapest", upTo(9), func(int) bool { return true }, 5},
-		{"of those that may", upTo(9), func(a int) bool { return a != 5 }, 1},
+		{"the cheapest eligible", upTo(9), func(a int) bool { return a != 5 }, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			qt.Assert(t, placement.Cheapest(c.among, c.may, cost), qt.Equals, c.want)
@@ -38,7 +38,8 @@
 	}
 }
 
-// TestDrawn: of many, three are rated, however many there are; each of them is taken about as often, and where few may be, one is found.
+// TestCheapestOfSample: of many candidates exactly three are rated, regardless of their number. Each candidate is selected
+// about equally often. If only one of many is eligible, it is found.
 func TestCheapestOfSample(t *testing.T) {
 	for _, n := range []int{100, 200} {
 		rng := rand.New(rand.NewPCG(1, 1))
