--- a/internal/entry/demand/demand_test.go
+++ b/internal/entry/demand/demand_test.go
@@ -12,7 +12,7 @@
 
 const second = time.Second
 
-// TestSentBefore: what is said of the last of a series of callers.
+// TestSentBefore checks the classification of the last of a series of callers.
 func TestSentBefore(t *testing.T) {
 	repeat := func(n int, d time.Duration) (out []time.Duration) {
 		for range n {
@@ -28,14 +28,14 @@
 		patience  time.Duration
 		want      bool
 	}{
-		{"nobody before", nil, short, second / 10, false},
+		{"no jobs before", nil, short, second / 10, false},
 		{"too few before", repeat(7, 2*second), short, second / 10, false},
 		{"as long as usual", repeat(8, 2*second), short, 2 * second, false},
 		{"two thirds of the usual time", repeat(8, 2*second), short, 1300 * time.Millisecond, false},
 		{"less than that", repeat(8, 2*second), short, 1299 * time.Millisecond, true},
-		{"half of the callers have sent before", append(repeat(16, 2*second), repeat(16, second/2)...), short, second, true},
-		{"four in five have", append(repeat(6, 2*second), repeat(26, second/2)...), short, second / 2, false},
-		{"callers that wait for less than they did", append(repeat(40, 2*second), repeat(32, second)...), short, second, false},
+		{"half of the jobs were resubmitted", append(repeat(16, 2*second), repeat(16, second/2)...), short, second, true},
+		{"four in five were resubmitted", append(repeat(6, 2*second), repeat(26, second/2)...), short, second / 2, false},
+		{"callers wait for less time than before", append(repeat(40, 2*second), repeat(32, second)...), short, second, false},
 		{"long jobs", repeat(8, 8*second), long, 2 * second, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestShortJobAmongLong: in a queue of long jobs a caller that waits for less has a shorter job.
+// TestShortJobAmongLong: in a queue of long jobs, a caller that waits for less time has a shorter job and has not
+// resubmitted one.
 func TestShortJobAmongLong(t *testing.T) {
 	c := demand.NewResendDetector()
 	for range 20 {
@@ -58,7 +59,7 @@
 	qt.Assert(t, c.Observe("q", second, 3*second), qt.IsFalse)
 }
 
-// TestPressure: the part refused lately, in proportion up to a tenth; it fades.
+// TestPressure: the level is proportional to the fraction of recently refused jobs up to one tenth, and decays with time.
 func TestPressure(t *testing.T) {
 	for _, test := range []struct {
 		name              string
@@ -66,8 +67,8 @@
 		later             time.Duration
 		least, most       float64
 	}{
-		{"nothing", 0, 0, 0, 0, 0},
-		{"nobody refused", 100, 0, 0, 0, 0},
+		{"no jobs", 0, 0, 0, 0, 0},
+		{"none refused", 100, 0, 0, 0, 0},
 		{"one refused after a quiet time", 4, 1, 0, 0.9, 1},
 		{"one in fifty", 98, 2, 0, 0.15, 0.2},
 		{"one in ten", 180, 20, 0, 0.95, 1},
@@ -89,7 +90,7 @@
 	}
 }
 
-// BenchmarkSentBefore: an entry asks for each job.
+// BenchmarkObserve measures the check that an entry makes for each job.
 func BenchmarkObserve(b *testing.B) {
 	c := demand.NewResendDetector()
 	n := 0
--- a/internal/entry/demand/pressure.go
+++ b/internal/entry/demand/pressure.go
@@ -1,4 +1,4 @@
-// Package demand knows what callers ask of an entry: whether it is more than there is room for, and which jobs come again.
+// Package demand estimates the demand on an entry: by how much it exceeds capacity, and which jobs are resubmitted.
 package demand
 
 import (
@@ -7,30 +7,32 @@
 )
 
 const (
-	// fullPressure is the part of the jobs refused from which on nobody waits longer; below it waits are in proportion. A lower
-	// one would refuse more where bursts drain by themselves.
+	// fullPressure is the fraction of refused jobs at which Level is 1 and jobs wait for the minimum time; below it the
+	// reduction is proportional. A lower value would refuse more jobs in bursts that drain by themselves.
 	fullPressure = 0.10
-	// pressureMemory is how long refusals count, as a time constant: longer than the wave of callers that a short outage
-	// sends back.
+	// pressureDecay is the time constant with which older jobs lose weight. It is longer than the wave of callers that
+	// resubmit their jobs after a short outage.
 	pressureDecay = 3 * time.Second
-	// doubtfulJobs are counted as served besides, so that a few refusals after a quiet time do not count as pressure.
+	// priorJobs is added to the number of answered jobs, so that a few refusals after a quiet period do not count as
+	// pressure.
 	priorJobs = 5
 )
 
-// Pressure knows which part of the jobs was lately refused for want of room. The zero value has seen none.
+// Pressure estimates the fraction of recent jobs that were refused for lack of capacity. The zero value has seen no jobs.
 type Pressure struct {
-	// refused and answered count jobs, older ones less; at is when they were brought up to date.
+	// refused and answered are job counts, in which older jobs have less weight. at is the time for which they were
+	// computed.
 	refused, answered float64
 	at                time.Time
 }
 
-// fade lets older jobs count less.
+// decay reduces the weight of older jobs.
 func (p *Pressure) decay(now time.Time) {
 	keep := math.Exp(-float64(now.Sub(p.at)) / float64(pressureDecay))
 	p.refused, p.answered, p.at = p.refused*keep, p.answered*keep, now
 }
 
-// Note takes in a job that was complete, or refused for want of room.
+// Record adds a job that was completed or was refused for lack of capacity.
 func (p *Pressure) Record(now time.Time, refused bool) {
 	p.decay(now)
 	p.answered++
@@ -39,7 +41,7 @@
 	}
 }
 
-// Level is 0 while no job is refused, and 1 where so many are that waiting helps nobody.
+// Level returns 0 if no jobs are refused, and 1 if so many are refused that waiting longer helps nobody.
 func (p *Pressure) Level(now time.Time) float64 {
 	p.decay(now)
 	return min(p.refused/(p.answered+priorJobs)/fullPressure, 1)
--- a/internal/entry/demand/resend.go
+++ b/internal/entry/demand/resend.go
@@ -7,54 +7,61 @@
 	"hillreel/internal/core/route"
 )
 
-// After a loss of entries, their callers send again what was under way, beside the new jobs: for half a second up to 2.7 times as many
-// as usual come. What was sent again is late by then, and would take the room from jobs that can still be in time. A request
-// doesn't say that it is a repetition, but its caller waits for less long than others do.
+// After a loss of entries, their callers resubmit the jobs that were in progress, in addition to new ones: for half a
+// second the load is up to 2.7 times the usual. Resubmitted jobs are late by then and would take capacity from jobs that
+// can still be in time. A request does not say that it is a resubmission, but its caller waits for less time than others
+// do.
 
-// resendPause is after how long callers send a job again at the earliest: the platform's pause of 1.3 s.
+// resendPause is the minimum time after which callers resubmit a job: the platform's pause of 1.3 s.
 const resendPause = 1300 * time.Millisecond
 
 const (
-	// recentJobs is how many of a queue's last jobs say how long its callers usually wait: enough to tell a quarter of them,
-	// and so few that an entry which has just started knows them within a second.
+	// windowSize is the number of a queue's latest jobs from which the usual waiting time of its callers is estimated. It
+	// is large enough to tell the lowest quarter, and small enough that an entry which has just started fills the window
+	// within a second.
 	windowSize = 32
-	// leastJobs is from how many on they say anything.
+	// minSamples is the number of jobs from which on the estimate is used.
 	minSamples = 8
-	// resentShare: callers that wait for less than this part of the usual time have sent their job before. Of the users' callers with
-	// objectives below resendPause none waited for less than 0.70 of it at first (2,013 jobs); who sends again has 1.3 to
-	// 2.8 s less, of 1.8 to 3.3 s. With 0.75, 4 in 100 first requests were taken for repeated ones.
+	// resentFraction: callers that wait for less than this fraction of the usual time are assumed to have submitted their
+	// job before. Among 2,013 first requests of the users' callers with objectives below resendPause, none waited for less
+	// than 0.70 of the usual time. A caller that resubmits has 1.3 to 2.8 s less of its 1.8 to 3.3 s. With 0.75, 4 in 100
+	// first requests were classified as resubmissions.
 	resentFraction = 0.65
 )
 
-// recent are the last values of one kind that a queue's jobs had.
+// window holds the latest values of one property of a queue's jobs.
 type window struct {
-	// values are in the order in which they came until there are recentJobs; from then on next is the place of the oldest.
+	// values holds up to windowSize values in order of arrival. Once it is full, next is the index of the oldest value,
+	// which is overwritten next.
 	values []time.Duration
 	next   int
 }
 
-// note takes in a value.
-func (r *window) add(d time.Duration) {
-	if len(r.values) < windowSize {
-		r.values = append(r.values, d)
+// add records a value.
+func (w *window) add(d time.Duration) {
+	if len(w.values) < windowSize {
+		w.values = append(w.values, d)
 		return
 	}
-	r.values[r.next] = d
-	r.next = (r.next + 1) % windowSize
+	w.values[w.next] = d
+	w.next = (w.next + 1) % windowSize
 }
 
-// quantile is what a part of the values do not exceed; there must be values.
-func (r *window) quantile(part float64) time.Duration {
-	sorted := slices.Sorted(slices.Values(r.values))
-	return sorted[int(part*float64(len(sorted)))]
+// quantile returns the value that the given fraction of the values does not exceed. The window must not be empty.
+func (w *window) quantile(fraction float64) time.Duration {
+	sorted := slices.Sorted(slices.Values(w.values))
+	return sorted[int(fraction*float64(len(sorted)))]
 }
 
-// queue is how long a queue's callers were going to wait when they sent their last jobs, and what these jobs' objectives were.
+// queueStats holds, for the latest jobs of a queue, how long their callers were going to wait and what their objectives
+// were.
 type queueStats struct{ waits, objectives window }
 
-// usual is what three quarters of the callers do not exceed: it holds for first requests as long as these are more than a quarter.
-// It is zero while too little is known, and for queues whose jobs can still be in time when they are sent again, or nearly: their
-// callers wait for times that differ as much as the jobs do.
+// typicalWait returns the upper quartile of the callers' waiting times. It reflects first requests as long as more than a
+// quarter of the requests are first ones. It returns zero, which means unknown, in two cases:
+//   - The queue has seen too few jobs.
+//   - The queue's jobs can still be in time, or nearly, when they are resubmitted. The waiting times of their callers
+//     differ as much as the jobs do.
 func (q *queueStats) typicalWait() time.Duration {
 	if len(q.waits.values) < minSamples || q.objectives.quantile(0.5) >= resendPause {
 		return 0
@@ -62,22 +69,22 @@
 	return q.waits.quantile(0.75)
 }
 
-// Callers knows how long the callers of each queue usually wait.
+// ResendDetector detects resubmitted jobs from how long the callers of each queue usually wait.
 type ResendDetector struct{ queues map[route.Name]*queueStats }
 
-// NewCallers returns a Callers that has seen none.
+// NewResendDetector returns a ResendDetector that has seen no jobs.
 func NewResendDetector() *ResendDetector { return &ResendDetector{make(map[route.Name]*queueStats)} }
 
-// SentBefore tells whether a job that comes now, and whose caller waits so long, was probably sent before and can't be in time
-// any more. It takes the job into account for those that follow.
-func (c *ResendDetector) Observe(name route.Name, objective, patience time.Duration) bool {
-	q := c.queues[name]
+// Observe reports whether a new job with the given objective, whose caller waits for the given time, was probably submitted
+// before and can no longer be in time. It adds the job to the queue's statistics.
+func (d *ResendDetector) Observe(name route.Name, objective, callerWait time.Duration) bool {
+	q := d.queues[name]
 	if q == nil {
 		q = &queueStats{}
-		c.queues[name] = q
+		d.queues[name] = q
 	}
-	usual := q.typicalWait()
-	q.waits.add(patience)
+	typical := q.typicalWait()
+	q.waits.add(callerWait)
 	q.objectives.add(objective)
-	return objective < resendPause && patience < time.Duration(resentFraction*float64(usual))
+	return objective < resendPause && callerWait < time.Duration(resentFraction*float64(typical))
 }
