--- a/internal/entry/unconfirmed/unconfirmed.go
+++ b/internal/entry/unconfirmed/unconfirmed.go
@@ -1,7 +1,8 @@
-// Package doubt decides whether upstreams that were lost together with their agents have crashed.
+// Package unconfirmed decides whether upstreams that were lost together with their agents have crashed.
 //
-// A run that was lost with its agent says nothing of its upstream: whether that was lost as well shows only once another agent on the VM tells
-// which one stands there. Without it a crash that its agent does not survive would count for nothing.
+// The loss of an agent does not show whether its upstream was lost as well. That becomes known when another agent on the
+// same VM reports which upstream runs there. Without this check, a crash that the agent does not survive would never be
+// counted.
 package unconfirmed
 
 import (
@@ -13,37 +14,39 @@
 )
 
 const (
-	// keepFor is how long a VM may take to be back with another upstream: agents and upstreams that end are back within seconds.
+	// maxAge is how long a VM may take to return with another upstream. Agents and upstreams that end are back within
+	// seconds.
 	maxAge = 10 * time.Second
-	// most bounds the runs in doubt: those of a few agents.
+	// maxCrashes limits the unconfirmed runs; a few agents have about as many.
 	maxCrashes = 1024
 )
 
-// List holds the runs that are in doubt. One goroutine uses it.
+// Crashes holds the runs whose crash is unconfirmed. It is not safe for concurrent use.
 type Crashes struct{ all []entry }
 
-// entry is a run that was lost with its agent.
+// entry is a run that was lost together with its agent.
 type entry struct {
 	crash fleet.Crash
 	since time.Time
 }
 
-// Add notes a crash of which it is in doubt whether it was one.
-func (l *Crashes) Add(now time.Time, c fleet.Crash) {
-	if len(l.all) < maxCrashes {
-		l.all = append(l.all, entry{c, now})
+// Add records an unconfirmed crash. It is ignored if maxCrashes are recorded already.
+func (cs *Crashes) Add(now time.Time, c fleet.Crash) {
+	if len(cs.all) < maxCrashes {
+		cs.all = append(cs.all, entry{c, now})
 	}
 }
 
-// Decide takes in which upstream an agent tells of on a VM, and returns the crashes that this makes certain. An agent that begins
-// tells first of the upstream that its former life knew; settled is whether it knows that this one lives.
-func (l *Crashes) Resolve(now time.Time, vm ident.UpstreamName, stands ident.UpstreamID, settled bool) []fleet.Crash {
+// Resolve takes an agent's report that the upstream with the given id runs on a VM, and returns the crashes that the report
+// confirms. A starting agent first reports the upstream that its previous incarnation knew. settled tells whether the agent
+// knows that this upstream is alive.
+func (cs *Crashes) Resolve(now time.Time, vm ident.UpstreamName, up ident.UpstreamID, settled bool) []fleet.Crash {
 	var lost []fleet.Crash
-	l.all = slices.DeleteFunc(l.all, func(e entry) bool {
+	cs.all = slices.DeleteFunc(cs.all, func(e entry) bool {
 		if e.crash.VM != vm {
 			return now.Sub(e.since) > maxAge
 		}
-		if e.crash.Life.ID != stands {
+		if e.crash.Life.ID != up {
 			lost = append(lost, e.crash)
 			return true
 		}
--- a/internal/entry/unconfirmed/unconfirmed_test.go
+++ b/internal/entry/unconfirmed/unconfirmed_test.go
@@ -18,7 +18,7 @@
 	return fleet.Crash{Task: job.TaskID{Job: id}, VM: "vm", Life: ident.UpstreamLife{ID: "u-1"}}
 }
 
-// look is what an agent tells of an upstream.
+// report is an agent's report of its upstream.
 type report struct {
 	after   time.Duration
 	vm      ident.UpstreamName
@@ -28,30 +28,30 @@
 
 func TestResolve(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		looks []report
-		want  int
+		name    string
+		reports []report
+		want    int
 	}{
-		{"another stands there", []report{{time.Second, "vm", "u-2", false}}, 1},
+		{"another upstream", []report{{time.Second, "vm", "u-2", false}}, 1},
 		{"once only", []report{{time.Second, "vm", "u-2", false}, {time.Second, "vm", "u-3", true}}, 1},
-		{"the same lives", []report{{time.Second, "vm", "u-1", true}, {2 * time.Second, "vm", "u-2", true}}, 0},
-		{"the same is told of, and then another", []report{{time.Second, "vm", "u-1", false}, {2 * time.Second, "vm", "u-2", true}}, 1},
+		{"the same upstream", []report{{time.Second, "vm", "u-1", true}, {2 * time.Second, "vm", "u-2", true}}, 0},
+		{"the same upstream at first, then another", []report{{time.Second, "vm", "u-1", false}, {2 * time.Second, "vm", "u-2", true}}, 1},
 		{"another VM", []report{{time.Second, "other", "u-2", true}}, 0},
-		{"forgotten", []report{{11 * time.Second, "other", "u-2", true}, {11 * time.Second, "vm", "u-2", true}}, 0},
+		{"expired", []report{{11 * time.Second, "other", "u-2", true}, {11 * time.Second, "vm", "u-2", true}}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var l unconfirmed.Crashes
 			l.Add(start, lost(1))
 			got := 0
-			for _, k := range c.looks {
-				got += len(l.Resolve(start.Add(k.after), k.vm, k.up, k.settled))
+			for _, r := range c.reports {
+				got += len(l.Resolve(start.Add(r.after), r.vm, r.up, r.settled))
 			}
 			qt.Assert(t, got, qt.Equals, c.want)
 		})
 	}
 }
 
-// TestBound: what is in doubt has a bound.
+// TestBound: the number of unconfirmed crashes is limited.
 func TestBound(t *testing.T) {
 	var l unconfirmed.Crashes
 	for i := range 5000 {
