--- a/internal/entry/holders/holders.go
+++ b/internal/entry/holders/holders.go
@@ -1,5 +1,6 @@
-// Package holders answers which other entry holds a job that need not be kept, from what entries tell each other of the jobs that they have
-// held for long. It knows nothing of this entry's own jobs, and must not be taken for complete: what was told may be lost.
+// Package holders tracks which other entry holds a job that is not kept, from the announcements that entries make of jobs
+// they have held for a long time. It does not include this entry's own jobs. It is not complete, because announcements may
+// be lost.
 package holders
 
 import (
@@ -12,12 +13,13 @@
 )
 
 const (
-	// TellAfter is after how long a held job is told of: callers come to another entry 1.3 s after they have left this one at the earliest, and the
-	// message may take as long as a slow link's.
+	// AnnounceAfter is the time after which a held job is announced. Callers turn to another entry at least 1.3 s after
+	// they have left this one, and the announcement may take as long as a message on a slow link.
 	AnnounceAfter = 800 * time.Millisecond
-	// TellEvery is after how long it is told of again, for entries that have not heard or were not there.
+	// AnnounceInterval is the time between announcements. They are repeated for entries that missed one or were not
+	// running.
 	AnnounceInterval = 2 * time.Second
-	// remember is for how long it counts as held without being told of again: one message may be lost.
+	// timeToLive is how long a job counts as held after its latest announcement. It allows for one lost announcement.
 	timeToLive = 2*AnnounceInterval + time.Second
 )
 
@@ -27,34 +29,34 @@
 	until time.Time
 }
 
-// Account is what other entries have told.
+// Registry holds the announcements of other entries.
 type Registry struct {
-	// by has several entries for a job whose caller has gone from one to the next.
+	// jobs lists the holders of each job. A job has several if its caller has moved from one entry to the next.
 	jobs map[job.ID][]holder
-	// swept is when what is over was forgotten last.
+	// swept is when expired announcements were last removed.
 	swept time.Time
 }
 
-// New returns an Account that knows of no job.
+// New returns an empty Registry.
 func New() *Registry { return &Registry{jobs: make(map[job.ID][]holder)} }
 
-// Told notes that an entry holds jobs.
-func (a *Registry) Record(now time.Time, entry ident.Incarnation, jobs ...job.ID) {
+// Record records that an entry holds jobs.
+func (r *Registry) Record(now time.Time, entry ident.Incarnation, jobs ...job.ID) {
 	for _, id := range jobs {
-		a.Forget(id, entry)
-		a.jobs[id] = append(a.jobs[id], holder{entry, now.Add(timeToLive)})
+		r.Forget(id, entry)
+		r.jobs[id] = append(r.jobs[id], holder{entry, now.Add(timeToLive)})
 	}
-	if now.Sub(a.swept) > timeToLive {
-		a.swept = now
-		maps.DeleteFunc(a.jobs, func(_ job.ID, all []holder) bool {
+	if now.Sub(r.swept) > timeToLive {
+		r.swept = now
+		maps.DeleteFunc(r.jobs, func(_ job.ID, all []holder) bool {
 			return !slices.ContainsFunc(all, func(h holder) bool { return now.Before(h.until) })
 		})
 	}
 }
 
-// Of returns an entry that holds a job, as far as it is known.
-func (a *Registry) Find(now time.Time, id job.ID) (entry ident.Incarnation, known bool) {
-	for _, h := range a.jobs[id] {
+// Find returns an entry that holds a job, if one is known.
+func (r *Registry) Find(now time.Time, id job.ID) (entry ident.Incarnation, known bool) {
+	for _, h := range r.jobs[id] {
 		if now.Before(h.until) {
 			return h.entry, true
 		}
@@ -62,12 +64,12 @@
 	return 0, false
 }
 
-// Forget forgets that an entry holds a job.
-func (a *Registry) Forget(id job.ID, entry ident.Incarnation) {
-	left := slices.DeleteFunc(a.jobs[id], func(h holder) bool { return h.entry == entry })
+// Forget removes the record that an entry holds a job.
+func (r *Registry) Forget(id job.ID, entry ident.Incarnation) {
+	left := slices.DeleteFunc(r.jobs[id], func(h holder) bool { return h.entry == entry })
 	if len(left) == 0 {
-		delete(a.jobs, id)
+		delete(r.jobs, id)
 		return
 	}
-	a.jobs[id] = left
+	r.jobs[id] = left
 }
--- a/internal/entry/holders/holders_test.go
+++ b/internal/entry/holders/holders_test.go
@@ -9,7 +9,8 @@
 	"hillreel/internal/entry/holders"
 )
 
-// TestHolders: a job counts as held by each entry that has told of it, until that has given it up or has not told of it for long.
+// TestRegistry: a job counts as held by each entry that has announced it, until that entry has released it or has not
+// announced it for too long.
 func TestRegistry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := holders.New()
