--- a/internal/entry/queue/queue.go
+++ b/internal/entry/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue decides in which order jobs that wait for room go.
+// Package queue orders the jobs that wait for capacity.
 //
-// It takes of each job when it has to go, and whether it has begun or can't be in time any more. It never drops a job, nor decides whether
-// one fits anywhere.
+// The order depends on when each job should be placed, whether it has started, and whether it can still be in time. The
+// queue never drops a job and does not decide whether a job fits anywhere.
 package queue
 
 import (
@@ -13,20 +13,21 @@
 	"hillreel/internal/core/job"
 )
 
-// Turn is what a job's place in the order rests on.
+// Rank is the sort key of a waiting job.
 type Rank struct {
-	// Begun: runs of the job were started; giving it up would waste their work.
+	// Begun is set if runs of the job were started; giving the job up would waste their work.
 	Begun bool
-	// Late: it can't be in time any more.
+	// Late is set if the job can no longer be in time.
 	Late bool
-	// GoesBy is when it should go at the latest.
+	// PlaceBy is the time by which the job should be placed.
 	PlaceBy time.Time
-	// Priority is its route's; zero goes first.
+	// Priority is the priority of the job's route; zero is placed first.
 	Priority int
 	Job      job.ID
 }
 
-// Compare orders turns: jobs that have begun first, those that can't be in time last, then by when they should go.
+// Compare orders ranks: jobs that have begun first, late jobs last, then by PlaceBy, Priority and job id. A late job that
+// has begun precedes all jobs that have not.
 func Compare(a, b Rank) int {
 	return cmp.Or(
 		falseFirst(b.Begun, a.Begun), falseFirst(a.Late, b.Late), a.PlaceBy.Compare(b.PlaceBy), cmp.Compare(a.Priority, b.Priority),
@@ -45,14 +46,14 @@
 	return -1
 }
 
-// Job is what waits.
+// Job is the constraint for the elements of a Queue.
 type Job interface {
 	comparable
-	// Turn is the job's present one; it may change while the job waits.
+	// Rank returns the job's current rank, which may change while the job waits.
 	Rank() Rank
 }
 
-// Queue holds the jobs of one service that have tasks to place, the most urgent first.
+// Queue holds the jobs of one service that have tasks to place, in order of rank.
 type Queue[J Job] struct {
 	Service ident.Service
 	jobs    []J
@@ -61,37 +62,38 @@
 // New returns an empty Queue.
 func New[J Job](s ident.Service) *Queue[J] { return &Queue[J]{Service: s} }
 
-// Add puts a job into its place. A job that begins while others of its tasks wait keeps the place it had, and so does one
-// of which nothing has begun after all: the list is in order but for those, and one that is added beside them may come
-// out before or behind them.
+// Add inserts a job at the position of its rank. A job whose rank changes while it waits keeps its position: a job with
+// other waiting tasks may begin, or turn out not to have begun after all. The list is sorted except for such jobs, and a
+// job that is added next to them may be inserted before or after them.
 func (q *Queue[J]) Add(j J) {
-	i, _ := slices.BinarySearchFunc(q.jobs, j.Rank(), func(have J, turn Rank) int { return Compare(have.Rank(), turn) })
+	i, _ := slices.BinarySearchFunc(q.jobs, j.Rank(), func(have J, rank Rank) int { return Compare(have.Rank(), rank) })
 	q.jobs = slices.Insert(q.jobs, i, j)
 }
 
-// Remove takes a job out.
+// Remove removes a job.
 func (q *Queue[J]) Remove(j J) {
-	// The order may have changed since the job was added, so it is sought one by one.
+	// The rank may have changed since the job was added, so a binary search could miss it.
 	if i := slices.Index(q.jobs, j); i >= 0 {
 		q.jobs = slices.Delete(q.jobs, i, i+1)
 	}
 }
 
-// Len returns how many jobs wait.
+// Len returns the number of waiting jobs.
 func (q *Queue[J]) Len() int { return len(q.jobs) }
 
-// All returns the jobs in their order.
+// All returns the jobs in queue order.
 func (q *Queue[J]) All() []J { return slices.Clone(q.jobs) }
 
-// lookahead is how many jobs that do not fit are passed over for ones behind them that do. Passing over more
-// would let small tasks hold up large ones.
+// maxSkipped is how many jobs that do not fit are skipped in favor of later jobs that do. Skipping more would let small
+// tasks hold up large ones.
 const maxSkipped = 4
 
-// Offer offers room to the jobs in their order. place places what fits of a job, which may leave the queue by it, and tells whether room
-// that another job leaves could help it; jobs that no such room helps are passed over without limit.
+// Offer offers capacity to the jobs in queue order. It calls place for each job. place places as many of the job's tasks as
+// fit, may remove the job from the queue, and reports whether the job still waits for capacity that other jobs could leave
+// to it. Jobs that do not wait for such capacity are skipped without limit.
 func (q *Queue[J]) Offer(place func(J) (waitsForRoom bool)) {
-	missed := 0
-	for i := 0; i < len(q.jobs) && missed < maxSkipped; {
+	skipped := 0
+	for i := 0; i < len(q.jobs) && skipped < maxSkipped; {
 		j := q.jobs[i]
 		waits := place(j)
 		if i >= len(q.jobs) || q.jobs[i] != j {
@@ -99,7 +101,7 @@
 		}
 		i++
 		if waits {
-			missed++
+			skipped++
 		}
 	}
 }
--- a/internal/entry/queue/queue_test.go
+++ b/internal/entry/queue/queue_test.go
@@ -10,7 +10,7 @@
 	"hillreel/internal/entry/queue"
 )
 
-// waiter is a job that waits.
+// waiter is a waiting job.
 type waiter struct{ rank queue.Rank }
 
 func (w *waiter) Rank() queue.Rank { return w.rank }
@@ -32,7 +32,7 @@
 		turns []queue.Rank
 		want  []job.ID
 	}{
-		{"by when they should go", []queue.Rank{{PlaceBy: start.Add(time.Second), Job: 1}, {PlaceBy: start, Job: 2}}, []job.ID{2, 1}},
+		{"by the time they should be placed", []queue.Rank{{PlaceBy: start.Add(time.Second), Job: 1}, {PlaceBy: start, Job: 2}}, []job.ID{2, 1}},
 		{"begun first", []queue.Rank{{PlaceBy: start, Job: 1}, {PlaceBy: start.Add(time.Second), Begun: true, Job: 2}}, []job.ID{2, 1}},
 		{"late last", []queue.Rank{{PlaceBy: start, Late: true, Job: 1}, {PlaceBy: start.Add(time.Second), Job: 2}}, []job.ID{2, 1}},
 		{"begun before late", []queue.Rank{{Late: true, Begun: true, Job: 1}, {Job: 2}}, []job.ID{1, 2}},
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestChangedTurn: a job whose turn has changed since it was added is found all the same.
+// TestChangedRank: a job is found although its rank has changed since it was added.
 func TestChangedRank(t *testing.T) {
 	q := queue.New[*waiter]("s")
 	first := &waiter{queue.Rank{Job: 1}}
@@ -59,8 +59,8 @@
 	qt.Assert(t, ids(q), qt.DeepEquals, []job.ID{2})
 }
 
-// TestOffer: four jobs that do not fit are passed over, those that other jobs' room can't help besides, and those that leave the queue don't
-// count.
+// TestOffer: up to four jobs that do not fit are skipped. Jobs that leave the queue, and jobs that other jobs' capacity
+// can't help, do not count towards the limit.
 func TestOffer(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -71,7 +71,7 @@
 		{"nothing fits", func(job.ID) bool { return false }, func(job.ID) bool { return true }, 4},
 		{"every second fits", func(id job.ID) bool { return id%2 == 0 }, func(job.ID) bool { return true }, 7},
 		{"all fit", func(job.ID) bool { return true }, func(job.ID) bool { return true }, 10},
-		{"six can't be helped", func(job.ID) bool { return false }, func(id job.ID) bool { return id > 6 }, 10},
+		{"six gain nothing from freed capacity", func(job.ID) bool { return false }, func(id job.ID) bool { return id > 6 }, 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := queue.New[*waiter]("s")
