--- a/internal/entry/retry/retry.go
+++ b/internal/entry/retry/retry.go
@@ -1,7 +1,8 @@
-// Package repeat decides what becomes of a task whose run has ended, and whether one that runs slowly is to begin anew elsewhere.
+// Package retry decides what happens to a task whose run has ended, and whether a slow run should be started anew
+// elsewhere.
 //
-// It takes how the run ended and how the task and its job stand. It never lets a task run on that has ended well, nor one again whose last
-// run may have ended well unheard.
+// The decision depends on how the run ended and on the state of the task and its job. A task that has succeeded never runs
+// again. A task whose last run may have succeeded unnoticed does not run again before the store has been consulted.
 package retry
 
 import (
@@ -11,32 +12,35 @@
 	"hillreel/internal/core/job"
 )
 
-// Action is what becomes of a task.
+// Action is what happens to a task.
 type Action string
 
 // The actions.
 const (
-	// Done: it has ended well.
+	// Done: the task has succeeded.
 	Done Action = "done"
-	// JobFails: it has failed too often.
+	// FailJob: the task has failed too often, so its job fails.
 	FailJob Action = "job_fails"
-	// Doubtful: it waits until the store says that its old run counts for nothing, or that its crash is stored.
+	// AwaitStore: the task waits until the store confirms either that its previous run does not count or that its crash is
+	// stored.
 	AwaitStore Action = "doubtful"
-	// Again: it is placed again.
+	// Retry: the task is placed again.
 	Retry Action = "again"
 )
 
-// Ended is a run that has ended, of a job that goes on.
+// End describes the end of a run of a job that is still in progress.
 type End struct {
 	Outcome job.Outcome
 	Reason  fleet.Reason
-	// Failures are the task's so far, this one included; Attempts is how many its job allows.
+	// Failures counts the task's failed runs, including this one. MaxAttempts is the number of failures at which the job
+	// fails.
 	Failures, MaxAttempts int
-	// Kept: the job outlives its callers. StoreFirst: what is known of the task has to be stored before it starts again.
+	// Kept is set if the job outlives its callers. StoreFirst is set if what is known of the task must be stored before it
+	// may start again.
 	Kept, StoreFirst bool
 }
 
-// After decides what becomes of the task.
+// Decide returns what happens to the task.
 func Decide(e End) Action {
 	switch {
 	case e.Outcome == job.Done:
@@ -49,20 +53,21 @@
 	return Retry
 }
 
-// Worth rates a job's end; a higher one is better.
+// Value rates the end of a job; higher is better.
 type Value int
 
-// The ratings, from the lowest on.
+// The ratings, in ascending order.
 const (
 	Useless Value = iota
 	Late
 	InTime
 )
 
-// lateFactor times the objective is when a job's end is worth nothing any more; between the two it is worth little.
+// lateFactor is the multiple of the objective after which a job's end has no value. Between the objective and this limit it
+// has little value.
 const lateFactor = 3
 
-// At rates the end of a job that then has taken so long.
+// Rate rates the end of a job that has taken the given time by then.
 func Rate(took, objective time.Duration) Value {
 	switch {
 	case took <= objective:
@@ -73,12 +78,12 @@
 	return Useless
 }
 
-// stopTime is what a run takes to end when it is to make way: the platform's stop_ms of 50 ms at the most, and as much
-// again for the way there and back and for the next start.
+// stopTime is the time that it takes to stop a run and start it elsewhere: the platform's stop_ms of at most 50 ms, and as
+// much again for the round trip and the next start.
 const stopTime = 100 * time.Millisecond
 
-// Pays tells whether a task that would run for so long anew would end early enough for its job, which has taken so long, to be worth more than
-// where it is, with so much left.
-func ShouldMove(took, objective, left, anew time.Duration) bool {
-	return Rate(took+stopTime+anew, objective) > Rate(took+left, objective)
+// ShouldMove reports whether moving a task improves the value of its job's end. The job has taken the time took so far. The
+// task needs the time left where it runs, and the time restarted if it is started elsewhere.
+func ShouldMove(took, objective, left, restarted time.Duration) bool {
+	return Rate(took+stopTime+restarted, objective) > Rate(took+left, objective)
 }
--- a/internal/entry/retry/retry_test.go
+++ b/internal/entry/retry/retry_test.go
@@ -41,7 +41,7 @@
 		{"in time only elsewhere", second / 2, second, second / 4, true},
 		{"late either way", second / 2, second, second, false},
 		{"late instead of useless", second, 3 * second, second, true},
-		{"just in time but for the stop", second / 2, second, second / 2, false},
+		{"in time except for the time to stop", second / 2, second, second / 2, false},
 	} {
 		t.Run(c.name, func(t *testing.T) { qt.Assert(t, retry.ShouldMove(c.took, second, c.left, c.anew), qt.Equals, c.want) })
 	}
