--- a/internal/entry/dispatch/agents.go
+++ b/internal/entry/dispatch/agents.go
@@ -12,17 +12,17 @@
 	"hillreel/internal/entry/agent"
 )
 
-// upstreamOf is an agent with the tasks that are, or may be, at its upstream.
+// agentState is an agent together with the tasks that are, or may be, at its upstream.
 type agentState struct {
 	agent.Record
 	runs map[job.TaskID]*task
-	// counted is the pace by which the agent counts among all paces; zero is not at all.
+	// countedPace is the value with which the agent is included in the median pace; zero means not included.
 	countedPace float64
-	// lost is true while it is not linked, and was.
+	// lost is set while the agent was linked before and is not now.
 	lost bool
 }
 
-// setLost notes whether an agent is lost.
+// setLost records whether an agent is lost.
 func (t *Table) setLost(a *agentState, lost bool) {
 	if a.lost == lost {
 		return
@@ -35,7 +35,8 @@
 	t.lostAgents--
 }
 
-// Linked handles a new session with an agent, in place of one whose end was not told.
+// HandleLinked handles a new session with an agent. It replaces an earlier session even if the end of that session was not
+// reported.
 func (t *Table) HandleLinked(now time.Time, id ident.Incarnation, name ident.UpstreamName, zone ident.Zone) {
 	t.HandleUnlinked(now, id) // forgets an agent that has no runs
 	a := t.agents[id]
@@ -52,11 +53,11 @@
 	t.repeatTakeovers(now, id)
 }
 
-// fellSilent times the keep-alive interval is after how long without a word an agent has fallen silent, whose link would have been heard to end
-// otherwise.
+// silentKeepAlives is the number of keep-alive intervals without a message after which an agent counts as silent. An agent
+// whose link ends sooner after its last message was heard to disconnect.
 const silentKeepAlives = 2
 
-// Unlinked handles the end of a session: what was placed there may still run for a while.
+// HandleUnlinked handles the end of a session. The runs at the agent may continue for a while.
 func (t *Table) HandleUnlinked(now time.Time, id ident.Incarnation) {
 	a := t.agents[id]
 	if a == nil || !a.Linked {
@@ -90,11 +91,11 @@
 	// FreeCPU and TotalCPU are in thousandths of a core.
 	FreeCPU  int64 `json:"free_cpu_millis"`
 	TotalCPU int64 `json:"total_cpu_millis"`
-	// Pace is its recent run time over the estimate.
+	// Pace is the ratio of the upstream's recent run times to their estimates.
 	Pace float64 `json:"pace"`
-	// Runs are this entry's.
+	// Runs counts only the runs of this entry.
 	Runs int `json:"runs"`
-	// Cordoned: operators have cordoned it, its zone, or what selects it.
+	// Cordoned is set if operators have cordoned the upstream, its zone, or a selector that matches it.
 	Cordoned bool `json:"cordoned"`
 }
 
@@ -104,14 +105,15 @@
 	for _, a := range t.agentList {
 		if a.Known() {
 			out = append(out, Upstream{
-				a.Name, a.Upstream.ID, a.Zone, a.Upstream.Service, a.Room().State, a.Room().Free.CPU, a.Upstream.Total.CPU, a.Room().Pace, len(a.runs), !t.permits(a, a.Upstream.Service),
+				a.Name, a.Upstream.ID, a.Zone, a.Upstream.Service, a.Room().State, a.Room().Free.CPU, a.Upstream.Total.CPU,
+				a.Room().Pace, len(a.runs), !t.permits(a, a.Upstream.Service),
 			})
 		}
 	}
 	return out
 }
 
-// Ready returns how many upstreams take work now.
+// Ready returns the number of upstreams that accept work now.
 func (t *Table) Ready() int {
 	n := 0
 	for _, a := range t.agentList {
@@ -122,14 +124,14 @@
 	return n
 }
 
-// anyReady tells whether an upstream of a service that is not to be avoided is ready.
+// anyReady reports whether an upstream of a service is ready that is not in the avoid list.
 func (t *Table) anyReady(s ident.Service, avoid []ident.UpstreamID) bool {
 	return slices.ContainsFunc(t.agentList, func(a *agentState) bool {
 		return a.Serves(s, fleet.Ready) && !slices.Contains(avoid, a.Upstream.ID) && t.permits(a, s)
 	})
 }
 
-// Upstream handles an agent's description of its upstream.
+// HandleUpstream handles an agent's description of its upstream.
 func (t *Table) HandleUpstream(now time.Time, id ident.Incarnation, u fleet.Upstream) {
 	if a := t.agents[id]; a != nil {
 		a.Upstream = u
@@ -137,7 +139,7 @@
 	}
 }
 
-// Room handles an agent's news of its room.
+// HandleRoom handles an agent's report of its free capacity.
 func (t *Table) HandleRoom(now time.Time, id ident.Incarnation, r fleet.Room) {
 	a := t.agents[id]
 	if a == nil || !a.Linked {
@@ -149,27 +151,29 @@
 	t.placeAt(now, a)
 }
 
-// replaced settles the runs of earlier agents of an upstream: its new agent takes work, but for a cordon, only once it
-// knows that nothing of theirs remains.
-func (t *Table) settleReplaced(now time.Time, by *agentState) {
-	if !by.Known() || !by.Room().State.RunsKnown() || t.lostAgents == 0 {
+// settleReplaced settles the runs of earlier agents of an upstream. The upstream's new agent reports a
+// state in which its runs are known only once none of those runs remains. In such a state it accepts work, or would do so
+// without a cordon.
+func (t *Table) settleReplaced(now time.Time, successor *agentState) {
+	if !successor.Known() || !successor.Room().State.RunsKnown() || t.lostAgents == 0 {
 		return
 	}
 	for _, a := range slices.Clone(t.agentList) {
-		if a == by || a.Linked || a.Upstream.ID != by.Upstream.ID || len(a.runs) == 0 {
+		if a == successor || a.Linked || a.Upstream.ID != successor.Upstream.ID || len(a.runs) == 0 {
 			continue
 		}
-		if !by.HasAnswered() {
-			t.queryAgent(by)
+		if !successor.HasAnswered() {
+			t.queryAgent(successor)
 			return
 		}
 		t.settle(now, a, fleet.AgentReplaced)
 	}
 }
 
-// question sends an order without tasks, which the agent's next news of its room take into account. A connection that an
-// agent's earlier life has opened may be held up on the way, and bring its news when the present life has runs but no
-// link: taken for its successor's, they would let those runs start elsewhere while they go on.
+// queryAgent sends an order without tasks, which the agent acknowledges in its next report of free capacity. The query
+// guards against delayed reports: a connection opened by an earlier incarnation of the agent may be held up in the network,
+// and its report may arrive when the present incarnation has runs but no link. If that report were attributed to a
+// successor of the present incarnation, those runs would be started elsewhere while they continue.
 func (t *Table) queryAgent(a *agentState) {
 	if a.HasOrders() {
 		return
@@ -179,7 +183,7 @@
 	t.agentsIO.Order(a.ID, *o)
 }
 
-// Resumed handles an agent's word on the runs of this entry's earlier session that go on under the new one.
+// HandleResumed handles an agent's list of the runs from this entry's earlier session that continue under the new one.
 func (t *Table) HandleResumed(id ident.Incarnation, runs []fleet.OrderedRun) {
 	a := t.agents[id]
 	if a == nil {
@@ -194,7 +198,7 @@
 		}
 		k.phase, k.moving = placed, false
 		if k.job.ending || k.stopping {
-			// The wish to stop it may have been lost with the former session.
+			// The earlier request to stop it may have been lost with the previous session.
 			k.stopping = false
 			t.stop(k)
 			t.reportStops(k.job, StopRepeated, nil)
@@ -203,7 +207,7 @@
 	t.observer.AgentChanged(a.Name, len(runs), AgentResumed)
 }
 
-// Settled handles an agent's word that nothing of this entry's earlier sessions remains there.
+// HandleSettled handles an agent's report that nothing from this entry's earlier sessions remains there.
 func (t *Table) HandleSettled(now time.Time, id ident.Incarnation) {
 	if a := t.agents[id]; a != nil {
 		t.settle(now, a, fleet.NotListed)
@@ -211,7 +215,7 @@
 	}
 }
 
-// settle lets the tasks that were lost with an agent be placed again.
+// settle makes the tasks that were lost with an agent eligible for placement again.
 func (t *Table) settle(now time.Time, a *agentState, why fleet.Reason) {
 	n := 0
 	for _, k := range sortedTasks(a.runs) {
@@ -230,12 +234,12 @@
 	t.removeIfUnused(a)
 }
 
-// sortedTasks lists tasks in the order of their ids, so that runs repeat.
+// sortedTasks lists tasks in the order of their ids, to make runs reproducible.
 func sortedTasks(m map[job.TaskID]*task) []*task {
 	return slices.SortedFunc(maps.Values(m), func(a, b *task) int { return a.id.Compare(b.id) })
 }
 
-// expire forgets an agent that is not linked and has nothing.
+// removeIfUnused removes an agent that is neither linked nor has runs.
 func (t *Table) removeIfUnused(a *agentState) {
 	if a.Linked || len(a.runs) > 0 {
 		return
@@ -246,8 +250,9 @@
 	t.crashes.SetUpstreamCount(len(t.agentList))
 }
 
-// countPace takes an agent's pace into the median of all, by which objectives and upstreams are judged. The paces are kept in order,
-// since an entry of a large site hears of room up to 2,000 times a second under load (BenchmarkRoom).
+// updatePace updates the median of all paces with an agent's pace. The median is the reference for rating upstreams and for
+// estimating how long a job will take. The paces are kept sorted because an entry of a large site receives up to 2,000
+// reports of free capacity a second under load.
 func (t *Table) updatePace(a *agentState) {
 	pace := a.Room().Pace
 	if !a.Linked {
--- a/internal/entry/dispatch/agents_test.go
+++ b/internal/entry/dispatch/agents_test.go
@@ -13,8 +13,9 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// TestLostAgentIsWaitedFor: tasks of a lost agent run elsewhere only once nothing of theirs can run there any more;
-// sooner if the agent, or its successor at the same upstream, says so.
+// TestLostAgentIsWaitedFor guards against a task that runs twice at once. The tasks of a lost agent are placed elsewhere
+// only after the time in which their old runs must have ended, or sooner if the agent or its successor at the same upstream
+// reports that nothing of them remains.
 func TestLostAgentIsWaitedFor(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -22,8 +23,8 @@
 		again time.Duration
 	}{
 		{"silent", func(*harness, ident.Incarnation) {}, timing.SettleAfter()},
-		{"back, and nothing is left", func(b *harness, lost ident.Incarnation) { b.link(lost); b.table.HandleSettled(b.now, lost) }, 0},
-		{"back, with runs left", func(b *harness, lost ident.Incarnation) { b.link(lost) }, time.Hour},
+		{"linked again, and no run remains", func(b *harness, lost ident.Incarnation) { b.link(lost); b.table.HandleSettled(b.now, lost) }, 0},
+		{"linked again, with remaining runs", func(b *harness, lost ident.Incarnation) { b.link(lost) }, time.Hour},
 		{"replaced at the same upstream", func(b *harness, lost ident.Incarnation) {
 			b.table.HandleLinked(b.now, 9, "vm", "z")
 			b.table.HandleUpstream(b.now, 9, fleet.Upstream{ID: ident.UpstreamID(lost.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
@@ -34,7 +35,7 @@
 			qt.Assert(b.t, b.queries, qt.HasLen, 1)
 			b.room(9, fleet.Ready, 2000, b.queries[0].Seq)
 		}, 0},
-		{"a connection of an earlier agent arrives late", func(b *harness, lost ident.Incarnation) {
+		{"a connection of an earlier agent is delayed", func(b *harness, lost ident.Incarnation) {
 			b.table.HandleLinked(b.now, 9, "vm", "z")
 			b.table.HandleUpstream(b.now, 9, fleet.Upstream{ID: ident.UpstreamID(lost.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
 			b.room(9, fleet.Ready, 2000, 0)
@@ -64,8 +65,9 @@
 	}
 }
 
-// TestLinkThatIsResetCostsNoRun: runs that the agent still has go on; what it does not list is placed again once the
-// agent says that nothing else is left, and what was given up meanwhile is stopped.
+// TestLinkThatIsResetCostsNoRun guards against runs that are lost or duplicated when a link is reset. Runs that the agent
+// still has continue. A run that the agent does not list is placed again once the agent reports that nothing else remains.
+// A run that was given up in the meantime is stopped.
 func TestLinkThatIsResetCostsNoRun(t *testing.T) {
 	b := newHarness(t, 1)
 	b.submit(7, 1, 2, time.Second, time.Minute)
@@ -82,7 +84,7 @@
 	b.end(o, 0, job.Done, "")
 	b.table.HandleUnlinked(b.now, 1)
 	b.table.Abandon(b.now, 7, 1)
-	qt.Assert(t, b.stops, qt.HasLen, 0) // nobody hears it
+	qt.Assert(t, b.stops, qt.HasLen, 0) // no agent is linked that could receive it
 	b.link(1)
 	again := b.orders[1].run(0)
 	qt.Assert(t, again.RunRef, qt.Equals, fleet.RunRef{Task: o.Task(1), Run: 2})
@@ -93,7 +95,8 @@
 	qt.Assert(t, b.stops[1], qt.Equals, stop{1, unknown, fleet.OnRequest})
 }
 
-// TestLinkedAnew: a session that replaces one whose end was not told leaves the agent known, whether it has runs or not.
+// TestSessionIsReplaced: an agent remains usable, with or without runs, when a new session replaces one whose end was not
+// reported.
 func TestSessionIsReplaced(t *testing.T) {
 	b := newHarness(t, 1)
 	b.link(1)
@@ -102,15 +105,15 @@
 	qt.Assert(t, b.orders, qt.HasLen, 1)
 }
 
-// TestCloseAll: an entry that is about to end answers everybody: what has not begun is refused for good, what has may have run
-// and is stopped, and what comes then is refused.
+// TestCloseAll: an entry that shuts down answers every caller. Jobs that have not begun are refused with a promise that
+// they have not run. Jobs that have begun are reported as possibly run, and are stopped. Later submissions are refused.
 func TestCloseAll(t *testing.T) {
 	b := newHarness(t, 1)
 	b.submit(1, 1, 1, time.Second, time.Minute)
-	b.submit(2, 2, 2, time.Second, time.Minute) // there is room for one of its two tasks
+	b.submit(2, 2, 2, time.Second, time.Minute) // there is capacity for one of its two tasks
 	b.submit(3, 3, 1, time.Second, time.Minute)
 	b.table.Abandon(b.now, 1, 1)
-	b.submit(1, 4, 1, time.Second, time.Minute) // waits for the end of the run before
+	b.submit(1, 4, 1, time.Second, time.Minute) // waits for the end of the previous run
 	qt.Assert(t, b.orders, qt.HasLen, 2)
 	stops := len(b.stops)
 	b.table.CloseAll(b.now)
--- a/internal/entry/dispatch/answers.go
+++ b/internal/entry/dispatch/answers.go
@@ -15,7 +15,7 @@
 	"hillreel/internal/core/verdict"
 )
 
-// Abandon handles a caller that has gone: with the last one, nobody wants the job any more.
+// Abandon handles a caller that has disconnected. The job is given up when its last caller has gone.
 func (t *Table) Abandon(now time.Time, id job.ID, c CallerID) {
 	t.dropBelated(id, c)
 	j := t.jobs[id]
@@ -30,13 +30,14 @@
 	t.placeAll(now)
 }
 
-// Release lets a kept job go, which another entry will act for, or which was cancelled: its runs are stopped.
+// Release gives up a kept job, either because another entry becomes responsible for it or because it was cancelled. Its
+// runs are stopped.
 func (t *Table) Release(now time.Time, id job.ID, why verdict.Reason) {
 	j := t.jobs[id]
 	if j == nil || !j.kept {
 		return
 	}
-	j.resubmitted = nil // it would have begun anew once its old runs had ended
+	j.resubmitted = nil // otherwise the job would start anew once its old runs had ended
 	if j.ending {
 		return
 	}
@@ -44,7 +45,7 @@
 	t.placeAll(now)
 }
 
-// Cancel ends a job at its caller's wish, and tells whether there was one that is not kept.
+// Cancel ends a job at its caller's request. It reports whether this entry held such a job that is not kept.
 func (t *Table) Cancel(now time.Time, id job.ID) bool {
 	belated := t.cancelBelated(id)
 	j := t.jobs[id]
@@ -56,11 +57,11 @@
 	return true
 }
 
-// CloseAll answers all jobs that are not kept, and refuses those that are still submitted: the entry is about to end. What has
-// begun is stopped, so that it is gone when its caller sends the job again.
+// CloseAll prepares the entry's shutdown. It answers all jobs that are not kept, and from then on every new submission is
+// refused. Runs that have started are stopped, so that they are gone when their caller submits the job again.
 func (t *Table) CloseAll(now time.Time) {
 	t.closing = true
-	t.answerAllBelated(refused(verdict.Leaving)) // nothing of them has run here
+	t.answerAllBelated(refused(verdict.Leaving)) // no run of them has started here
 	for _, j := range t.sortedJobs() {
 		t.answerResubmitted(j, EntryLeaving)
 		switch {
@@ -73,22 +74,22 @@
 	}
 }
 
-// sortedJobs lists the jobs as they wait for room, so that runs repeat.
+// sortedJobs lists all jobs in queue order, to make runs reproducible.
 func (t *Table) sortedJobs() []*jobState { return slices.SortedFunc(maps.Values(t.jobs), compareJobs) }
 
-// answerAgain answers the callers who have sent a job again that was given up, and lets it not begin anew.
+// answerResubmitted answers the callers that have resubmitted a job which was given up, and prevents it from starting anew.
 func (t *Table) answerResubmitted(j *jobState, a Answer) {
-	again := j.resubmitted
+	requests := j.resubmitted
 	j.resubmitted = nil
-	for _, r := range again {
+	for _, r := range requests {
 		t.callers.Answer(r.Caller, a)
 	}
 }
 
-// EntryLeaves is for callers of whose jobs nothing is certain when their entry ends.
+// EntryLeaving is the answer to callers whose jobs may or may not have run when their entry shuts down.
 var EntryLeaving = Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Leaving}
 
-// runVerdict is the verdict on a job that is given up now.
+// unfinishedVerdict returns the verdict on a job that is given up now.
 func unfinishedVerdict(j *jobState) verdict.Verdict {
 	if j.begun {
 		return verdict.MayHaveRun
@@ -96,7 +97,7 @@
 	return verdict.NotRun
 }
 
-// close gives a job's final answer and ends it.
+// close gives a job its final answer and ends it. The Keeper is told of kept jobs.
 func (t *Table) close(now time.Time, j *jobState, a Answer) {
 	if j.kept {
 		t.keeper.JobEnded(now, j.id, a)
@@ -104,7 +105,7 @@
 	t.endJob(now, j, a)
 }
 
-// end answers a job's callers, stops what still runs of it and forgets it once nothing does.
+// endJob answers a job's callers, stops its remaining runs, and removes it once none is left.
 func (t *Table) endJob(now time.Time, j *jobState, a Answer) {
 	invariant.Check(!j.ending, invariant.AnsweredOnce, func() logrus.Fields { return logrus.Fields{"job": j.id} })
 	invariant.Check(a.Verdict != verdict.NotRun || j.outstanding == 0, invariant.NotRunIsTrue, func() logrus.Fields {
@@ -130,7 +131,7 @@
 	t.removeIfDone(now, j)
 }
 
-// summary tells what a job's answer rests on.
+// summary describes how a job went.
 func (t *Table) summary(now time.Time, j *jobState) Summary {
 	s := Summary{
 		RequestID: j.requestID, Took: now.Sub(j.submitted), Objective: j.objective, Tasks: j.spec.TaskCount(), Runs: j.runs, Failures: j.failures,
@@ -142,7 +143,7 @@
 	return s
 }
 
-// roomLeft tells what room there is for a job's waiting tasks.
+// roomLeft returns the capacity available for a job's waiting tasks.
 func (t *Table) roomLeft(now time.Time, j *jobState) RoomLeft {
 	r := RoomLeft{Closed: t.countClosed(now)}
 	for s := range j.steps {
@@ -156,7 +157,7 @@
 	return r
 }
 
-// countRoom counts the upstreams that take work, and the tasks of a step for which they have room.
+// countRoom counts the upstreams that accept work, and the tasks of a step for which they have capacity.
 func (t *Table) countRoom(service ident.Service, step *job.Step) (ready, fits int) {
 	for _, a := range t.agentList {
 		if !a.Serves(service, fleet.Ready) {
@@ -193,7 +194,7 @@
 	t.agentsIO.Stop(k.agent.ID, k.orderedRun(), fleet.OnRequest)
 }
 
-// forget removes a closed job of which nothing remains, and begins it anew if it was submitted again.
+// removeIfDone removes a closed job of which no run remains, and starts it anew if it was resubmitted.
 func (t *Table) removeIfDone(now time.Time, j *jobState) {
 	if !j.ending || j.outstanding > 0 && !(t.opts.Without.Has(rule.StopsFirst) && len(j.resubmitted) > 0) {
 		return
@@ -202,9 +203,9 @@
 		delete(t.jobs, j.id)
 		t.sendReplies(j.id)
 	}
-	again := j.resubmitted
+	requests := j.resubmitted
 	j.resubmitted = nil
-	for _, r := range again {
+	for _, r := range requests {
 		t.take(now, r)
 	}
 }
--- a/internal/entry/dispatch/belated.go
+++ b/internal/entry/dispatch/belated.go
@@ -9,23 +9,25 @@
 	"hillreel/internal/core/verdict"
 )
 
-// listenFor is how long a request that may have been on its way for long waits for the end of its connection, which comes behind it: the
-// way there and back several times over.
+// disconnectWait is how long a request that may have been delayed in the network is held back in case the end of its
+// connection follows. It is several times the round-trip time.
 const disconnectWait = 20 * time.Millisecond
 
-// belatedRequest is a request that may have been on its way for long, or whose job another entry holds.
+// belatedRequest is a request that is held back because it may have been delayed in the network, or because another entry
+// holds its job.
 type belatedRequest struct {
 	request Request
-	// listenLeft is for how long the process has still to listen before it is taken, if its caller has not gone; it is counted up to countedTo.
+	// listenRemaining is how long the process still has to listen before the request is taken, provided that its caller
+	// does not disconnect. It has been reduced for the time up to countedUntil.
 	listenRemaining time.Duration
 	countedUntil    time.Time
 }
 
-// hold lets a belated request wait until the end of its connection would have been heard, and tells whether it does. One whose job another entry
-// holds waits as well: the caller may have gone there.
+// holdBelated holds a request back until the end of its connection would have arrived. It reports whether it does so. A
+// request whose job another entry holds is held back as well, since its caller may have gone there.
 func (t *Table) holdBelated(now time.Time, r Request) bool {
-	old := t.contact.mayBeDelayed(now) && !t.opts.Without.Has(rule.HearEnds)
-	if t.closing || r.Kept != nil || !old && !t.heldElsewhere(now, r.Job) {
+	delayed := t.contact.mayBeDelayed(now) && !t.opts.Without.Has(rule.HearEnds)
+	if t.closing || r.Kept != nil || !delayed && !t.heldElsewhere(now, r.Job) {
 		return false
 	}
 	t.observer.Belated(&r)
@@ -33,7 +35,7 @@
 	return true
 }
 
-// takeBelated takes the belated requests whose time has come.
+// submitBelated takes the belated requests that have waited long enough.
 func (t *Table) submitBelated(now time.Time) {
 	waiting := t.belated
 	t.belated = nil
@@ -50,24 +52,24 @@
 		default:
 			t.take(now, *r)
 			if j := t.jobs[r.Job]; j != nil {
-				j.announceAt = now // its caller may have gone all the same, unheard, and be about to come to another entry
+				j.announceAt = now // its caller may have disconnected unnoticed and may be about to go to another entry
 			}
 		}
 	}
 	t.dropUnusedReleases()
 }
 
-// dropBelated forgets a belated request whose caller has gone.
+// dropBelated removes a belated request whose caller has disconnected.
 func (t *Table) dropBelated(id job.ID, c CallerID) {
 	t.belated = slices.DeleteFunc(t.belated, func(b belatedRequest) bool { return b.request.Job == id && b.request.Caller == c })
 }
 
-// isBelated tells whether a request of a job is held.
+// isBelated reports whether a request for a job is held back.
 func (t *Table) isBelated(id job.ID) bool {
 	return slices.ContainsFunc(t.belated, func(b belatedRequest) bool { return b.request.Job == id })
 }
 
-// cancelBelated answers the belated requests of a job that is cancelled, and tells whether there were some.
+// cancelBelated answers the belated requests for a cancelled job, and reports whether there were any.
 func (t *Table) cancelBelated(id job.ID) bool {
 	if !t.isBelated(id) {
 		return false
@@ -76,7 +78,7 @@
 	return true
 }
 
-// answerBelated answers the belated requests of a job, and forgets them.
+// answerBelated answers and removes the belated requests for a job.
 func (t *Table) answerBelated(id job.ID, a Answer) {
 	t.belated = slices.DeleteFunc(t.belated, func(b belatedRequest) bool {
 		if b.request.Job == id {
@@ -86,7 +88,7 @@
 	})
 }
 
-// answerAllBelated answers all belated requests, and forgets them.
+// answerAllBelated answers and removes all belated requests.
 func (t *Table) answerAllBelated(a Answer) {
 	for _, b := range t.belated {
 		t.callers.Answer(b.request.Caller, a)
--- a/internal/entry/dispatch/bench_test.go
+++ b/internal/entry/dispatch/bench_test.go
@@ -13,11 +13,11 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// manyJobs are held by an entry at a peak.
+// manyJobs is the number of waiting jobs that an entry holds at peak load.
 const manyJobs = 1000
 
-// sizes are the agents of an entry: of the users' large sites, of four times these, and of the largest region that hillreel is
-// built for.
+// sizes are numbers of agents linked to an entry: at the users' large sites, at four times that size, and in the largest
+// region that hillreel is built for.
 var sizes = []int{70, 280, 2100}
 
 // bySize runs a benchmark for each size.
@@ -27,14 +27,14 @@
 	}
 }
 
-// news tells of an agent's room; no two agents have the same pace.
+// reportRoom reports an agent's free capacity; no two agents have the same pace.
 func (b *harness) reportRoom(agent, agents int, cpu int64, seq uint64) {
 	b.table.HandleRoom(b.now, ident.Incarnation(agent), fleet.Room{
 		Free: job.Resources{CPU: cpu}, State: fleet.Ready, Seq: seq, Pace: 1 + float64(agent*31%agents)/float64(agents),
 	})
 }
 
-// newPeak returns a Table that holds many jobs of two steps, as many as fit of which run.
+// newPeak returns a Table that holds many two-step jobs, as many of which run as fit.
 func newPeak(b *testing.B, agents int) *harness {
 	p := &harness{now: time.Unix(1000, 0), answers: make(map[dispatch.CallerID]dispatch.Answer)}
 	jobs := manyJobs + agents*12
@@ -57,7 +57,7 @@
 	return p
 }
 
-// BenchmarkTick: a tick at which no job is given up.
+// BenchmarkTick measures a tick in which no job is given up.
 func BenchmarkTick(b *testing.B) {
 	bySize(b, func(b *testing.B, agents int) {
 		p := newPeak(b, agents)
@@ -68,7 +68,7 @@
 	})
 }
 
-// BenchmarkRoom: an agent's news of its room, when no job fits.
+// BenchmarkRoom measures an agent's report of its free capacity when no job fits.
 func BenchmarkRoom(b *testing.B) {
 	bySize(b, func(b *testing.B, agents int) {
 		p := newPeak(b, agents)
@@ -78,7 +78,7 @@
 	})
 }
 
-// BenchmarkJob: a job of eight tasks that is placed at once, and the ends of its runs.
+// BenchmarkJob measures the placement of a job of eight tasks that all fit at once, and the ends of its runs.
 func BenchmarkJob(b *testing.B) {
 	bySize(b, func(b *testing.B, agents int) {
 		p := newHarness(nil, agents)
--- a/internal/entry/dispatch/contact.go
+++ b/internal/entry/dispatch/contact.go
@@ -8,54 +8,63 @@
 	"hillreel/internal/core/verdict"
 )
 
-// touch is what a table knows of whether the entry is in touch with agents and callers. It is about the callers of jobs that are not kept: one that
-// loses its connection sends its job to another entry after a pause, and the end of the connection, which would tell this entry, may be lost with it. A
-// job that went on, or began, although its caller had gone unheard would run at two entries' wish. There are three ways in which that may be, and
-// something is done for each:
+// contact tracks whether messages from agents and callers arrive at this entry. It protects the callers of jobs that are
+// not kept. Such a caller submits its job to another entry some time after it has lost its connection. The end of the
+// connection would tell this entry, but may be lost as well. If this entry then continued or started the job, two entries
+// would run it. This can happen in three ways, each with its own protection:
 //
-//   - Nothing comes from anybody while the process runs: awaitTouch gives the callers up.
-//   - The process stood still, and ends of connections wait to be read: place waits for listenLeft.
-//   - A request was lost on the way, and is sent again late: hold lets it wait for the end of its connection, see belated.go. Callers may be cut
-//     off alone, while agents are heard, so that what comes of callers counts by itself as well.
+//   - No messages arrive while the process runs: giveUpSilentCallers gives the callers up.
+//   - The process was paused, and the ends of connections have not been read yet: placeAmong places nothing while
+//     listenRemaining is positive.
+//   - A request was lost in the network and retransmitted late: holdBelated delays it until the end of its connection
+//     would have arrived, see belated.go. The network may cut off callers alone while agents are still heard, so messages
+//     from callers are also tracked separately.
 type contact struct {
-	// any is about agents and callers, callers about callers alone.
+	// all tracks agents and callers together, callers tracks callers alone.
 	all, callers outage
-	// silentSince is when something came last of anybody, or when the process last woke if that was later: what came before is then still to be read.
+	// silentSince is the time of the last message, or the time at which the process last resumed if that was later:
+	// messages that arrived before may not have been read yet.
 	silentSince time.Time
-	// agentSilent: an agent fell silent, and none was linked since; it would say something if it could.
+	// agentSilent is set if an agent has become silent and none has linked since. An agent that could reach the entry would
+	// have sent something.
 	agentSilent bool
-	// gaveUp: callers were given up, and nothing was heard since. stoodStill: the process did, and nothing was heard since.
+	// callersGivenUp is set if callers were given up and no message has arrived since. paused is set if the process was
+	// paused and no message has arrived since.
 	callersGivenUp, paused bool
-	// listenLeft is for how long nothing is placed yet after a standstill; it is counted up to countedTo.
+	// listenRemaining is the time for which nothing is placed after a pause of the process. It has been reduced for the
+	// time up to countedUntil.
 	listenRemaining time.Duration
 	countedUntil    time.Time
 }
 
-// listenStep is the most of the time between two ticks in which a process is taken to have listened: it may have stood still for the rest, as one
-// does that gets a part of a core. It is less than listenFor, so that nothing is over with the first tick after a standstill.
+// maxListenPerTick is the part of the interval between two ticks that counts as listening. The process may have been paused
+// for the rest, as happens when it gets only a share of a core. The value is less than disconnectWait and less than
+// listenAfterPause, so the first tick after a pause never completes either wait.
 const maxListenPerTick = 15 * time.Millisecond
 
-// listenAwake is how long a process that stood still listens before it places anything: five ticks, 100 ms if they are in time.
+// listenAfterPause is how long a process that was paused listens before it places anything: five ticks, which take 100 ms
+// if they are on time.
 const listenAfterPause = 5 * maxListenPerTick
 
-// wake notes that the process has stood still.
+// recordPause records that the process was paused.
 func (c *contact) recordPause(now time.Time) {
 	if !c.all.lastHeard.IsZero() {
 		c.paused, c.silentSince, c.listenRemaining = true, now, listenAfterPause
 	}
 }
 
-// tick counts the time in which the process has listened since the last tick.
+// countListening deducts the time for which the process has listened since the last tick.
 func (c *contact) countListening(now time.Time) {
 	c.listenRemaining -= listeningTime(c.countedUntil, now)
 	c.countedUntil = now
 }
 
-// listened is for how long the process has listened surely, or nearly so, between two moments without a tick between them.
+// listeningTime returns how long the process has listened, with near certainty, between two times without a tick in
+// between.
 func listeningTime(from, to time.Time) time.Duration { return min(to.Sub(from), maxListenPerTick) }
 
-// Hear notes that something came, of an agent or a caller, before it is handled. While the process stood still nothing was heard: Tick comes
-// first.
+// RecordContact records that a message from an agent or a caller has arrived. It must be called before the message is
+// handled, and after Tick if the process was paused, since nothing was heard during the pause.
 func (t *Table) RecordContact(now time.Time) {
 	c := &t.contact
 	c.all.begin(t.listensSince(now))
@@ -63,18 +72,21 @@
 	c.callersGivenUp, c.paused, c.silentSince = false, false, now
 }
 
-// callersFellSilent is after how long without a caller their ways may have failed alone. A request matters whose caller has gone to another entry
-// meanwhile: it was under way for longer than callers pause (1.3 s), and the entry was cut off for nearly half of that at least.
+// callersSilentAfter is the time without a message from any caller after which the network may have cut off callers alone.
+// It has to detect the outages after which a delayed request may belong to a caller that has gone to another entry. Such a
+// request was under way for longer than callers pause before they do so (1.3 s), and the entry was cut off for at least
+// nearly half of that time.
 const callersSilentAfter = 500 * time.Millisecond
 
-// HearCaller notes that a request came, beside Hear and before it is handled.
+// RecordCallerContact records that a request has arrived. It must be called in addition to RecordContact and before the
+// request is handled.
 func (t *Table) RecordCallerContact(now time.Time) {
 	c := &t.contact.callers
 	c.begin(t.listensSince(now))
 	c.recordMessage(now, c.silence(now) > callersSilentAfter)
 }
 
-// listensSince is when the entry began to listen.
+// listensSince returns the time at which the entry began to listen.
 func (t *Table) listensSince(now time.Time) time.Time {
 	if t.firstTick.IsZero() {
 		return now
@@ -82,24 +94,24 @@
 	return t.firstTick
 }
 
-// mayBeOld tells whether a request that comes now may have been sent long ago.
+// mayBeDelayed reports whether a request that arrives now may have been sent long ago.
 func (c *contact) mayBeDelayed(now time.Time) bool {
 	return c.all.mayBeDelayed(now) || c.callers.mayBeDelayed(now)
 }
 
-// awaitTouch gives up the callers of an entry that has heard nothing for as long as agents keep its runs. They are answered in case they are
-// still there; they can send their jobs again.
+// giveUpSilentCallers gives up all callers once the entry has received nothing for as long as agents keep its runs. The
+// callers are answered in case they are still connected; they can submit their jobs again.
 func (t *Table) giveUpSilentCallers(now time.Time) {
 	c := &t.contact
-	expects := c.agentSilent || slices.ContainsFunc(t.agentList, func(a *agentState) bool { return a.Linked })
-	if c.callersGivenUp || !expects || c.all.lastHeard.IsZero() || now.Sub(c.silentSince) <= t.opts.Timing.Silence {
+	expectsMessages := c.agentSilent || slices.ContainsFunc(t.agentList, func(a *agentState) bool { return a.Linked })
+	if c.callersGivenUp || !expectsMessages || c.all.lastHeard.IsZero() || now.Sub(c.silentSince) <= t.opts.Timing.Silence {
 		return
 	}
 	c.callersGivenUp = true
 	if t.opts.Without.Has(rule.CallersLost) {
 		return
 	}
-	given := 0
+	givenUp := 0
 	for _, j := range t.sortedJobs() {
 		if j.kept {
 			continue
@@ -107,12 +119,12 @@
 		t.answerResubmitted(j, outOfTouch)
 		if !j.ending {
 			t.close(now, j, outOfTouch)
-			given++
+			givenUp++
 		}
 	}
 	t.answerAllBelated(outOfTouch)
-	t.observer.OutOfTouch(c.all.silence(now), given)
+	t.observer.OutOfTouch(c.all.silence(now), givenUp)
 }
 
-// outOfTouch is for callers of whom nobody can say whether they are still there.
+// outOfTouch is the answer to callers that may no longer be connected.
 var outOfTouch = Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.OutOfTouch}
--- a/internal/entry/dispatch/contact_test.go
+++ b/internal/entry/dispatch/contact_test.go
@@ -12,7 +12,7 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// hearing lets time pass while some agents tell of their room.
+// hearing advances time while some agents report their free capacity.
 func (b *harness) hearing(d time.Duration, from ...ident.Incarnation) {
 	for end := b.now.Add(d); b.now.Before(end); {
 		b.now = b.now.Add(20 * time.Millisecond)
@@ -24,7 +24,7 @@
 	}
 }
 
-// cutOff lets time pass in which nothing comes; links are given up after 250 ms.
+// cutOff advances time without any messages; links are given up after 250 ms.
 func (b *harness) cutOff(d time.Duration, agents ...ident.Incarnation) {
 	end := b.now.Add(d)
 	b.hearing(min(d, 250*time.Millisecond))
@@ -34,13 +34,13 @@
 	b.hearing(max(0, end.Sub(b.now)))
 }
 
-// standStill lets time pass in which the process does nothing.
-func (b *harness) standStill(d time.Duration) {
+// pauseProcess advances time while the process is paused.
+func (b *harness) pauseProcess(d time.Duration) {
 	b.now = b.now.Add(d)
 	b.table.Tick(b.now)
 }
 
-// back links agents again, of which nothing is left at their upstreams.
+// relink links agents again that have no runs left.
 func (b *harness) relink(agents ...ident.Incarnation) {
 	for _, id := range agents {
 		b.table.RecordContact(b.now)
@@ -50,14 +50,15 @@
 	}
 }
 
-// TestCallersUnheardAreGivenUp guards against tasks that two entries run at once: a job whose caller may have gone unheard, because the entry
-// stood still or was cut off, is not placed again; one whose agent alone was lost is.
+// TestUnreachableCallersAreGivenUp guards against tasks that two entries run at once. The caller of a job may have
+// disconnected unnoticed because the entry was paused or cut off. Such a job is not placed again. A job of which only the
+// agent was lost is.
 func TestUnreachableCallersAreGivenUp(t *testing.T) {
 	all := []ident.Incarnation{1, 2}
 	for _, test := range []struct {
 		name    string
 		happens func(b *harness)
-		// placed is how often the job is placed in all.
+		// placed is how often the job is placed in total.
 		placed int
 	}{
 		{"all agents are silent", func(b *harness) { b.cutOff(2*time.Second, all...); b.relink(all...) }, 1},
@@ -65,13 +66,13 @@
 			b.cutOff(300*time.Millisecond, all...)
 			b.relink(all...)
 		}, 2},
-		{"the process stands still, and its caller goes meanwhile", func(b *harness) {
+		{"the process is paused, and its caller leaves meanwhile", func(b *harness) {
 			b.now = b.now.Add(2 * time.Second)
 			b.table.Tick(b.now)
 			b.relink(all...)
 			b.table.Abandon(b.now.Add(50*time.Millisecond), 7, 1)
 		}, 1},
-		{"the process stands still, and its caller waits", func(b *harness) {
+		{"the process is paused, and its caller waits", func(b *harness) {
 			b.now = b.now.Add(2 * time.Second)
 			b.table.Tick(b.now)
 			b.relink(all...)
@@ -83,7 +84,7 @@
 			b.table.HandleUnlinked(b.now, lost)
 			b.hearing(2*time.Second, other)
 		}, 2},
-		{"all agents are heard to end", func(b *harness) {
+		{"all agents disconnect", func(b *harness) {
 			for _, id := range all {
 				b.table.HandleUnlinked(b.now, id)
 			}
@@ -106,25 +107,25 @@
 	}
 }
 
-// TestBelatedRequests guards against tasks that two entries run at once: a request that was held up while its entry was out of touch begins
-// only if the end of its connection, which comes right behind it, does not come.
+// TestBelatedRequests guards against tasks that two entries run at once. A request that was delayed while its entry was out
+// of touch begins only if the end of its connection does not follow directly.
 func TestBelatedRequests(t *testing.T) {
 	all := []ident.Incarnation{1, 2}
 	for _, test := range []struct {
 		name string
-		// away is for how long nothing came, after how long after that the request comes.
+		// away is how long no messages arrived. after is the time from then until the request arrives.
 		away, after time.Duration
-		// gone: its caller has gone, which is heard at once behind it.
+		// gone is set if the caller has disconnected, which is noticed directly after the request.
 		gone bool
-		// atOnce: it is placed as it comes; placed: it is placed in the end.
+		// atOnce is set if the request is placed on arrival, placed if it is placed eventually.
 		atOnce, placed bool
 	}{
 		{"its caller has gone", time.Second, 100 * time.Millisecond, true, false, false},
-		{"its caller is there", time.Second, 100 * time.Millisecond, false, false, true},
-		{"it was sent again late", time.Second, 900 * time.Millisecond, true, false, false},
-		{"it was sent 200, 600 and 1,400 ms after the first time", 620 * time.Millisecond, 780 * time.Millisecond, true, false, false},
-		{"as much time again has passed", time.Second, 1300 * time.Millisecond, false, true, true},
-		{"the entry was in touch", 100 * time.Millisecond, 0, false, true, true},
+		{"its caller waits", time.Second, 100 * time.Millisecond, false, false, true},
+		{"it was retransmitted late", time.Second, 900 * time.Millisecond, true, false, false},
+		{"it was sent again after 200, 600 and 1,400 ms", 620 * time.Millisecond, 780 * time.Millisecond, true, false, false},
+		{"retransmission would have ended", time.Second, 1300 * time.Millisecond, false, true, true},
+		{"the entry was not cut off", 100 * time.Millisecond, 0, false, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newHarness(t, len(all))
@@ -145,22 +146,23 @@
 	}
 }
 
-// TestCallersCutOffAlone guards against tasks that two entries run at once: a request that was held up begins only if the end of its connection
-// does not come, also where callers alone were cut off while agents were heard.
+// TestCallersCutOffAlone guards against tasks that two entries run at once. A delayed request begins only if the end of its
+// connection does not follow, also if only callers were cut off while agents were heard.
 func TestCallersCutOffAlone(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// away is for how long no caller was heard, after how long after the first one that was the request comes.
+		// away is how long no message from a caller arrived. after is the time from the first one afterwards until the
+		// request arrives.
 		away, after time.Duration
-		// gone: its caller has gone, which is heard at once behind it.
+		// gone is set if the caller has disconnected, which is noticed directly after the request.
 		gone bool
-		// atOnce: it is placed as it comes; placed: it is placed in the end.
+		// atOnce is set if the request is placed on arrival, placed if it is placed eventually.
 		atOnce, placed bool
 	}{
 		{"its caller has gone", time.Second, 0, true, false, false},
-		{"its caller is there", time.Second, 0, false, false, true},
-		{"it was sent again late", time.Second, 900 * time.Millisecond, true, false, false},
-		{"as much time again has passed", time.Second, 1300 * time.Millisecond, false, true, true},
+		{"its caller waits", time.Second, 0, false, false, true},
+		{"it was retransmitted late", time.Second, 900 * time.Millisecond, true, false, false},
+		{"retransmission would have ended", time.Second, 1300 * time.Millisecond, false, true, true},
 		{"callers were heard", 400 * time.Millisecond, 0, false, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -185,27 +187,28 @@
 	}
 }
 
-// TestShortStandstills guards against tasks that two entries run at once: a process that stands still once more, for less than agents keep its runs,
-// while it listens for the ends of connections, has not listened meanwhile.
+// TestShortStandstills guards against tasks that two entries run at once. While the process listens for the ends of
+// connections it is paused again, for less time than agents keep its runs. That second pause must not count as time spent
+// listening.
 func TestShortStandstills(t *testing.T) {
 	all := []ident.Incarnation{1, 2}
 	for _, test := range []struct {
 		name string
-		// happens ends at a tick behind a short standstill; the end of the caller's connection is read behind it.
+		// happens ends at the tick after a short pause. The end of the caller's connection is read after that.
 		happens func(b *harness)
 		placed  int
 	}{
-		{"after a long one", func(b *harness) {
+		{"after a long pause", func(b *harness) {
 			b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
-			b.standStill(2 * time.Second)
+			b.pauseProcess(2 * time.Second)
 			b.relink(all...)
-			b.standStill(350 * time.Millisecond)
+			b.pauseProcess(350 * time.Millisecond)
 		}, 1},
-		{"while a request is held", func(b *harness) {
+		{"while a request is held back", func(b *harness) {
 			b.cutOff(time.Second, all...)
 			b.relink(all...)
 			b.submit(7, 1, 1, 200*time.Millisecond, 5*time.Second)
-			b.standStill(350 * time.Millisecond)
+			b.pauseProcess(350 * time.Millisecond)
 		}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -219,29 +222,29 @@
 	}
 }
 
-// TestPausesWithoutNews guards against tasks that two entries run at once: a request is held also after pauses without news in which no caller was
-// given up.
+// TestRequestsAfterSilence guards against tasks that two entries run at once. A request is held back also after intervals
+// of silence in which no caller was given up.
 func TestRequestsAfterSilence(t *testing.T) {
 	all := []ident.Incarnation{1, 2}
 	for _, test := range []struct {
 		name    string
 		happens func(b *harness)
 	}{
-		{"short ones, close together", func(b *harness) {
+		{"short and close together", func(b *harness) {
 			for range 4 {
 				b.cutOff(380*time.Millisecond, all...)
 				b.relink(all...)
 				b.hearing(20*time.Millisecond, all...)
 			}
 		}},
-		{"of an entry that has heard no agent yet", func(b *harness) {
+		{"before any agent was heard", func(b *harness) {
 			b.table = dispatch.New(dispatch.Options{Timing: timing, Zone: "z", MaxQueue: 10, MaxTasks: 20}, b, b, b, 1)
 			b.hearing(20 * time.Millisecond)
 			b.table.RecordContact(b.now)
 			b.hearing(2 * time.Second)
 			b.relink(all...)
 		}},
-		{"after all agents were heard to end", func(b *harness) {
+		{"after all agents have disconnected", func(b *harness) {
 			for _, id := range all {
 				b.table.HandleUnlinked(b.now, id)
 			}
@@ -262,7 +265,8 @@
 	}
 }
 
-// TestCancelledBelatedRequests guards against jobs that run after they were cancelled: a job whose request is held is known, and can be cancelled.
+// TestCancelledBelatedRequests guards against jobs that run after they were cancelled. A job whose request is held back
+// counts as held and can be cancelled.
 func TestCancelledBelatedRequests(t *testing.T) {
 	b := newHarness(t, 1)
 	b.hearing(100*time.Millisecond, 1)
@@ -277,7 +281,7 @@
 	qt.Assert(t, b.table.Cancel(b.now, 7), qt.IsFalse)
 }
 
-// TestBelatedRequestsOfALeavingEntry: a request that waits for the end of its connection is answered when its entry is about to end.
+// TestBelatedRequestsOfALeavingEntry: a request that is held back is answered when its entry shuts down.
 func TestBelatedRequestsOfALeavingEntry(t *testing.T) {
 	b := newHarness(t, 1)
 	b.hearing(100*time.Millisecond, 1)
@@ -289,6 +293,6 @@
 	qt.Assert(t, b.answers[1].Verdict, qt.Equals, verdict.NotRun)
 	qt.Assert(t, b.table.Unanswered(), qt.Equals, 0)
 	b.submit(8, 2, 1, 200*time.Millisecond, 5*time.Second)
-	qt.Assert(t, b.answers[2].Verdict, qt.Equals, verdict.NotRun, qt.Commentf("one that comes then is answered at once"))
+	qt.Assert(t, b.answers[2].Verdict, qt.Equals, verdict.NotRun, qt.Commentf("a later request is answered at once"))
 	qt.Assert(t, b.orders, qt.HasLen, 0)
 }
--- a/internal/entry/dispatch/cordon_test.go
+++ b/internal/entry/dispatch/cordon_test.go
@@ -13,10 +13,10 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// zoned returns a bench whose agents stand in zones a, b and a by turns.
+// newZoned returns a harness with agents that alternate between zones a and b, starting with a.
 func newZoned(t *testing.T, agents int) *harness {
 	b := newHarness(t, 0)
-	b.pass(time.Second) // an entry that has just begun waits for more agents
+	b.pass(time.Second) // an entry that has just started waits for more agents
 	for i := 1; i <= agents; i++ {
 		id := ident.Incarnation(i)
 		b.table.HandleLinked(b.now, id, "vm", []ident.Zone{"b", "a"}[i%2])
@@ -26,7 +26,8 @@
 	return b
 }
 
-// TestNothingIsPlacedInCordonedZones: while a zone is cordoned, tasks go elsewhere; afterwards there as well.
+// TestNothingIsPlacedInCordonedZones: no task is placed in a zone while it is cordoned, and tasks are placed there again
+// afterwards.
 func TestNothingIsPlacedInCordonedZones(t *testing.T) {
 	b := newZoned(t, 2)
 	b.table.SetCordoned(b.now, []ident.Zone{"a", "a zone that nobody has"})
@@ -39,8 +40,9 @@
 	qt.Assert(t, b.orders[1].agent, qt.Equals, ident.Incarnation(1))
 }
 
-// TestGatedOrderGoesElsewhere: an order that an agent refuses because of a cordon costs the job nothing, is placed elsewhere at once,
-// and the agent gets no other before it says that the cordon is lifted.
+// TestRefusedOrderGoesElsewhere: an order that an agent refuses because its zone is cordoned does not count against the
+// job. The tasks are placed elsewhere at once, and the agent receives no other order before it reports that the cordon is
+// lifted.
 func TestRefusedOrderGoesElsewhere(t *testing.T) {
 	b := newHarness(t, 1)
 	b.submit(1, 1, 2, time.Second, time.Minute)
@@ -65,7 +67,8 @@
 	qt.Assert(t, zones[0].CordonRefusals, qt.Equals, int64(2))
 }
 
-// TestNowhere: when all that could serve is cordoned, jobs are refused at once and truthfully, with when to come back.
+// TestAllUpstreamsCordoned guards against callers that wait for capacity that a cordon withholds. If all upstreams that
+// could serve a job are cordoned, the job is refused at once, with a correct verdict and a time after which to try again.
 func TestAllUpstreamsCordoned(t *testing.T) {
 	both := []ident.Zone{"a", "b"}
 	for _, test := range []struct {
@@ -77,26 +80,26 @@
 			b.table.SetCordoned(b.now, both)
 			b.submit(1, 1, 2, time.Second, time.Minute)
 		}, dispatch.Answer{State: verdict.Refused, Verdict: verdict.NotRun, Reason: verdict.Cordoned, RetryAfter: 5 * time.Second}},
-		{"one that waits", func(b *harness) {
+		{"a waiting job", func(b *harness) {
 			b.room(1, fleet.Ready, 0, 0)
 			b.room(2, fleet.Ready, 0, 0)
 			b.submit(1, 1, 2, time.Second, time.Minute)
 			b.table.SetCordoned(b.now, both)
 		}, dispatch.Answer{State: verdict.Refused, Verdict: verdict.NotRun, Reason: verdict.Cordoned, RetryAfter: 5 * time.Second}},
-		{"one of which a part has begun", func(b *harness) {
+		{"a job that has partly begun", func(b *harness) {
 			b.submit(1, 1, 5, time.Second, time.Minute)
 			b.table.SetCordoned(b.now, both)
 		}, dispatch.Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Cordoned}},
-		{"one that runs", func(b *harness) {
+		{"a running job", func(b *harness) {
 			b.submit(1, 1, 2, time.Second, time.Minute)
 			b.table.SetCordoned(b.now, both)
 		}, dispatch.Answer{}},
-		{"agents that say so themselves", func(b *harness) {
+		{"agents report the cordon themselves", func(b *harness) {
 			b.room(1, fleet.Cordoned, 2000, 0)
 			b.room(2, fleet.Cordoned, 2000, 0)
 			b.submit(1, 1, 2, time.Second, time.Minute)
 		}, dispatch.Answer{State: verdict.Refused, Verdict: verdict.NotRun, Reason: verdict.Cordoned, RetryAfter: 5 * time.Second}},
-		{"an outage of the zone that is left", func(b *harness) {
+		{"an outage of the zone that is not cordoned", func(b *harness) {
 			b.table.SetCordoned(b.now, []ident.Zone{"a"})
 			b.room(2, fleet.Unreachable, 2000, 0)
 			b.submit(1, 1, 2, time.Second, time.Minute)
@@ -110,20 +113,21 @@
 	}
 }
 
-// TestOutageOfWhatIsLeft: while no upstream that may serve is ready, jobs wait as in an outage, though some of a cordoned zone are
-// ready.
+// TestOutageOfOpenZone: while no upstream outside the cordoned zones is ready, jobs wait as in an outage, even if upstreams
+// in cordoned zones are ready.
 func TestOutageOfOpenZone(t *testing.T) {
 	b := newZoned(t, 2)
 	b.table.SetCordoned(b.now, []ident.Zone{"a"})
 	b.room(2, fleet.Unreachable, 2000, 0)
 	b.submit(1, 1, 2, 100*time.Millisecond, time.Minute)
-	b.pass(100 * time.Millisecond) // longer than it would wait for room: a fourth part of 260 ms
+	b.pass(100 * time.Millisecond) // longer than the wait for capacity, which is one fourth of 260 ms
 	qt.Assert(t, b.answers, qt.HasLen, 0)
 	b.room(2, fleet.Ready, 2000, 0)
 	qt.Assert(t, b.orders, qt.HasLen, 1)
 }
 
-// TestCordonedComeFirst: while an entry begins, agents of cordoned zones may be linked first, and nobody is refused for that.
+// TestCordonedAgentsLinkFirst guards against refusals while an entry starts, when agents of cordoned zones may link before
+// the others.
 func TestCordonedAgentsLinkFirst(t *testing.T) {
 	b := newHarness(t, 1)
 	b.room(1, fleet.Cordoned, 2000, 0)
@@ -134,7 +138,7 @@
 	qt.Assert(t, b.orders, qt.HasLen, 1)
 }
 
-// TestZones: what an operator looks at before a zone is emptied, and while it is.
+// TestZones covers what an operator checks before and during the draining of a zone.
 func TestZones(t *testing.T) {
 	b := newZoned(t, 3)
 	b.table.SetCordoned(b.now, []ident.Zone{"b"})
--- a/internal/entry/dispatch/crash.go
+++ b/internal/entry/dispatch/crash.go
@@ -12,25 +12,25 @@
 	"hillreel/internal/entry/placement"
 )
 
-// Crashes is what is known of the tasks that upstreams were lost under.
+// Crashes returns the recorded upstream losses and the tasks that were running then.
 func (t *Table) Crashes() *crash.Tracker { return t.crashes }
 
-// Crashed takes in that upstreams were lost under tasks, and returns what of it is news. It is called before the ends of their runs
-// are. A job with a task that crashes upstreams fails.
+// HandleCrashes records that upstreams were lost while they ran tasks, and returns the crashes that were not known before.
+// It is called before the ends of the runs are handled. A job fails if one of its tasks is proven to crash upstreams.
 func (t *Table) HandleCrashes(now time.Time, all []fleet.Crash) []fleet.Crash {
-	news := t.crashes.AddAll(now, all)
-	for _, c := range news {
+	newCrashes := t.crashes.AddAll(now, all)
+	for _, c := range newCrashes {
 		if j := t.jobs[c.Task.Job]; j != nil && !j.ending && j.kept {
 			t.keeper.Crashed(now, c)
 		}
 	}
-	for _, c := range news {
+	for _, c := range newCrashes {
 		t.failProven(now, c.Task)
 	}
-	return news
+	return newCrashes
 }
 
-// resumeCrashes takes in what is stored of the crashes under a kept job's tasks, and lets what is known here besides be stored too.
+// restoreCrashes records the stored crashes of a kept job's tasks, and has those stored that only this entry knows.
 func (t *Table) restoreCrashes(now time.Time, j *jobState, stored []fleet.Crash) {
 	for i := range j.steps {
 		for _, k := range j.steps[i].tasks {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Refuted takes in that lives which were taken for lost have answered since.
+// HandleRefutations records that upstream incarnations that were considered lost have answered after all.
 func (t *Table) HandleRefutations(now time.Time, all []fleet.Refutation) {
 	for _, r := range all {
 		if t.crashes.Refute(r) && t.keeper != nil {
@@ -59,7 +59,7 @@
 // crashesUpstreams is the answer to a job with a task that crashes the upstreams that start it.
 var crashesUpstreams = Answer{State: verdict.Failed, Verdict: verdict.Ran, Reason: verdict.CrashesUpstreams}
 
-// failProven ends the job of a task that crashes upstreams.
+// failProven ends the job of a task that is proven to crash upstreams.
 func (t *Table) failProven(now time.Time, id job.TaskID) {
 	j := t.jobs[id.Job]
 	if j == nil || j.ending || t.crashes.Finding(id) != crash.Proven {
@@ -70,7 +70,7 @@
 	}
 }
 
-// task returns a task of the job, or nil if it has none of that id.
+// task returns the job's task with the given id, or nil if there is none.
 func (j *jobState) task(id job.TaskID) *task {
 	if int(id.Step) >= len(j.steps) || int(id.Index) >= len(j.steps[id.Step].tasks) {
 		return nil
@@ -78,38 +78,41 @@
 	return j.steps[id.Step].tasks[id.Index]
 }
 
-// suspected tells whether a task may have crashed an upstream.
+// suspected reports whether a task may have crashed an upstream.
 func (t *Table) suspected(k *task) bool { return t.crashes.Finding(k.id) == crash.Suspected }
 
-// mustStore tells whether the crash under a kept job's task has to be stored before the task may be placed again: whoever takes the job
-// over would count from nothing.
+// mustStoreCrash reports whether the crash of a kept job's task has to be stored before the task may be placed again.
+// Otherwise an entry that takes the job over would start counting from zero.
 func (t *Table) mustStoreCrash(k *task, o job.Outcome) bool {
 	return k.job.kept && o == job.Lost && t.suspected(k) && !t.opts.Without.Has(rule.CrashStored)
 }
 
-// emptyCost is how much dearer a full upstream is than an empty one for a task that is to be alone there: others wait for it.
+// usedRoomCost is the additional cost of a fully used upstream over an empty one for a task that must run alone. The
+// upstream accepts no other task until the suspected one has run alone, so other tasks wait longer if work that is already
+// there has to end first.
 const usedRoomCost = 10
 
-// closedShare: one in so many upstreams may be closed for suspected tasks at a time, by all entries together, but one by each entry. Suspects
-// beyond that wait, and others keep the rest of the room.
+// upstreamsPerClosed limits the upstreams that are closed for suspected tasks to one in eight, over all entries together,
+// but each entry may always close one. Further suspected tasks wait, and the remaining capacity stays available to other
+// tasks.
 const upstreamsPerClosed = 8
 
-// elsewhereWait is for how long after a loss a task that was alone there waits for an upstream on another VM: one more loss on the same VM proves
-// nothing, and upstreams that crash are back within that.
+// otherVMWait is how long after a loss a task that ran alone waits for an upstream on a different VM. Another loss on the
+// same VM would prove nothing, and upstreams that crash are back within that time.
 const otherVMWait = 3 * time.Second
 
-// aloneRun is a run that an upstream is closed for.
+// exclusiveRun is a run for which an upstream is closed to other tasks.
 type exclusiveRun struct {
 	task *task
 	id   fleet.RunID
-	// until is when it surely is alone no longer.
+	// until is the time from which the run is certainly no longer alone.
 	until time.Time
 }
 
-// closedMost is how many upstreams this entry may have closed for suspected tasks.
+// maxClosed returns the number of upstreams that this entry may close for suspected tasks.
 func (t *Table) maxClosed() int { return max(1, len(t.agentList)/(upstreamsPerClosed*t.entries)) }
 
-// closedNow counts the upstreams that are closed for suspected tasks of this entry.
+// countClosed returns the number of upstreams that are closed for suspected tasks of this entry.
 func (t *Table) countClosed(now time.Time) int {
 	t.exclusive = slices.DeleteFunc(t.exclusive, func(r exclusiveRun) bool {
 		return r.task.runID != r.id || r.task.phase != placed || !now.Before(r.until)
@@ -117,7 +120,7 @@
 	return len(t.exclusive)
 }
 
-// divide divides tasks that wait into those that must be alone and the others.
+// splitSuspects separates waiting tasks that must run alone from the others.
 func (t *Table) splitSuspects(waiting []*task) (suspects, others []*task) {
 	for _, k := range waiting {
 		if t.suspected(k) {
@@ -129,7 +132,7 @@
 	return suspects, others
 }
 
-// placeSuspects places tasks that must be alone, each by an order of its own.
+// placeSuspects places tasks that must run alone, each in its own order.
 func (t *Table) placeSuspects(now time.Time, suspects []*task, among []*agentState) {
 	for _, k := range suspects {
 		if t.countClosed(now) >= t.maxClosed() {
@@ -147,25 +150,26 @@
 	}
 }
 
-// chooseAlone returns the agent for a task that must be alone, or nil while nothing fits: the emptiest, on a VM whose upstream was not
-// lost under the task, if one is ready; one that it was alone at is not taken for a while, if there are others.
+// chooseAlone returns the agent for a task that must run alone, or nil if none fits. It prefers the emptiest upstream. It
+// excludes VMs that lost an upstream while they ran the task, if a ready upstream exists on another VM. For otherVMWait it
+// also excludes VMs on which the task was alone when the upstream was lost, if other VMs exist.
 func (t *Table) chooseAlone(now time.Time, k *task, among []*agentState) *agentState {
 	step := &k.job.spec.Steps[k.id.Step]
 	elsewhere := t.readyElsewhere(k)
 	others := t.hasOtherVMs(k)
-	may := func(a *agentState) bool {
+	mayTake := func(a *agentState) bool {
 		switch {
 		case elsewhere && t.crashes.HasCrashOn(k.id, a.Name), others && t.crashes.HasAloneCrashOn(now, k.id, a.Name, otherVMWait):
 			return false
 		}
 		return t.eligible(a, k, step) && !t.tooSlow(now, a, k)
 	}
-	return placement.Cheapest(among, may, func(a *agentState) float64 {
+	return placement.Cheapest(among, mayTake, func(a *agentState) float64 {
 		return a.Cost(step, t.opts.Zone, t.pace, t.rng) + usedRoomCost*a.Utilization()
 	})
 }
 
-// otherVMs tells whether there are several VMs that have, or may have, an upstream of a task's service.
+// hasOtherVMs reports whether at least two VMs have, or may have, an upstream of the task's service.
 func (t *Table) hasOtherVMs(k *task) bool {
 	n := 0
 	for _, a := range t.agentList {
@@ -176,10 +180,12 @@
 	return n > 1
 }
 
-// readyElsewhere tells whether an upstream is ready on a VM whose upstream was not lost under a task, and the task need not avoid it.
+// readyElsewhere reports whether a ready upstream exists that the task need not avoid, on a VM that has not lost an
+// upstream while it ran the task.
 func (t *Table) readyElsewhere(k *task) bool {
 	service := k.job.route.Service
 	return slices.ContainsFunc(t.agentList, func(a *agentState) bool {
-		return a.Serves(service, fleet.Ready) && t.permits(a, service) && !t.crashes.HasCrashOn(k.id, a.Name) && !slices.Contains(k.avoid, a.Upstream.ID)
+		return a.Serves(service, fleet.Ready) && t.permits(a, service) &&
+			!t.crashes.HasCrashOn(k.id, a.Name) && !slices.Contains(k.avoid, a.Upstream.ID)
 	})
 }
--- a/internal/entry/dispatch/crash_test.go
+++ b/internal/entry/dispatch/crash_test.go
@@ -14,7 +14,7 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// newVMs returns a bench whose agents are on VMs of their own, named as agents are.
+// newVMs returns a harness whose agents each have a VM of their own, with the agent's id as its name.
 func newVMs(t *testing.T, n int) *harness {
 	b := newHarness(t, 0)
 	for i := 1; i <= n; i++ {
@@ -26,13 +26,13 @@
 	return b
 }
 
-// lose ends the runs of an order as lost with its upstream, of which it is told first.
-func (b *harness) loseUpstream(o order, after time.Duration) {
+// loseUpstream reports the loss of an order's upstream, and then ends the order's runs as lost.
+func (b *harness) loseUpstream(o order, age time.Duration) {
 	var lost []fleet.Crash
 	for i, t := range o.Tasks {
 		lost = append(lost, fleet.Crash{
 			Task: o.Task(i), VM: ident.UpstreamName(o.agent.String()), Life: ident.UpstreamLife{ID: ident.UpstreamID(o.agent.String())},
-			Loss: 1, Age: after, Alone: t.AloneFor > 0, OnlyTask: t.AloneFor > 0 && len(o.Tasks) == 1,
+			Loss: 1, Age: age, Alone: t.AloneFor > 0, OnlyTask: t.AloneFor > 0 && len(o.Tasks) == 1,
 		})
 	}
 	b.room(o.agent, fleet.Unreachable, 2000, o.Seq)
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestTaskThatCrashesUpstreams: it is placed alone after the first loss, elsewhere each time, and its job fails after the third; sent
-// again, the job fails at once.
+// TestTaskThatCrashesUpstreams: after the first loss the task is placed alone, each time at another upstream, and its job
+// fails after the third loss. The job fails at once if it is resubmitted.
 func TestTaskThatCrashesUpstreams(t *testing.T) {
 	b := newVMs(t, 4)
 	b.submit(1, 1, 1, time.Second, 10*time.Second)
@@ -64,8 +64,8 @@
 	qt.Assert(t, b.orders, qt.HasLen, 3)
 }
 
-// TestSoundTaskBesideOneThatCrashes: tasks that were lost beside each other are not placed beside each other again, and those that end
-// are done.
+// TestSoundTaskBesideOneThatCrashes: tasks that ran together when their upstream was lost are placed alone afterwards, and
+// those that end well are done.
 func TestSoundTaskBesideOneThatCrashes(t *testing.T) {
 	b := newVMs(t, 3)
 	b.submit(1, 1, 2, time.Second, 10*time.Second)
@@ -92,7 +92,8 @@
 	qt.Assert(t, b.answers[1].State, qt.Equals, verdict.Complete)
 }
 
-// TestOldRunsAreNotSuspected: a task that had run for long when its upstream was lost goes on beside others.
+// TestOldRunsAreNotSuspected: a task that had already run for a long time when its upstream was lost may share an upstream
+// again.
 func TestOldRunsAreNotSuspected(t *testing.T) {
 	b := newVMs(t, 3)
 	b.submit(1, 1, 1, time.Second, 10*time.Second)
@@ -101,7 +102,7 @@
 	qt.Assert(t, b.orders[1].Tasks[0].AloneFor, qt.Equals, time.Duration(0))
 }
 
-// TestNothingBesideASuspect: what waits for room finds none where a task is about to be alone.
+// TestNothingBesideASuspect: no other task is placed at an upstream where a suspected task is about to run alone.
 func TestNothingBesideASuspect(t *testing.T) {
 	b := newVMs(t, 2)
 	b.submit(1, 1, 1, time.Second, 10*time.Second)
@@ -110,11 +111,11 @@
 	suspect := b.orders[1]
 	b.submit(2, 2, 1, time.Second, 10*time.Second)
 	qt.Assert(t, b.orders, qt.HasLen, 2)
-	b.room(suspect.agent, fleet.Ready, 1000, suspect.Seq) // it is alone no longer
+	b.room(suspect.agent, fleet.Ready, 1000, suspect.Seq) // the suspected task is no longer alone
 	qt.Assert(t, b.orders, qt.HasLen, 3)
 }
 
-// TestRefusalTellsOfClosedRoom: who reads the log of a refused job can tell that upstreams were closed for a suspected task.
+// TestRefusalTellsOfClosedRoom: the summary of a refused job shows that upstreams were closed for a suspected task.
 func TestRefusalTellsOfClosedRoom(t *testing.T) {
 	b := newVMs(t, 2)
 	b.submit(1, 1, 1, time.Second, 10*time.Second)
@@ -126,8 +127,8 @@
 	qt.Assert(t, b.summaries[2].Room.Closed, qt.Equals, 1)
 }
 
-// TestLossOfAnAgentIsDecided: a run that was lost with its agent counts as lost with its upstream once another upstream stands there, and
-// not if the same one does.
+// TestLossOfAnAgentIsDecided: a run that was lost with its agent counts as lost with its upstream if another upstream
+// appears on the VM, and does not count if the same one does.
 func TestLossOfAnAgentIsDecided(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -151,24 +152,25 @@
 	}
 }
 
-// TestSuspectWaitsForAnotherVM: a task that was lost alone on a VM waits there for an upstream on another one, but not for ever. Seen: a task that
-// crashes its upstreams late was started five times on the VM that was back first each time, which proves nothing.
+// TestSuspectWaitsForAnotherVM guards against a task that crashes its upstreams late and is always restarted on the VM that
+// is ready again first. This has happened five times in a row, and such restarts prove nothing. A task that was alone on a
+// VM when the upstream was lost waits for an upstream on another VM, but only for a limited time.
 func TestSuspectWaitsForAnotherVM(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		vms   int
 		wait  time.Duration
 		ready bool
-		// placed is whether the task is started again, elsewhere whether on the other VM.
+		// placed tells whether the task is started again, elsewhere whether that is on the other VM.
 		placed, elsewhere bool
-		// service is the other VM's if it is another one.
+		// service is the other VM's service, or empty if it is the same.
 		service ident.Service
 	}{
-		{"no other is up", 2, 2 * time.Second, false, false, false, ""},
-		{"another is back", 2, 2 * time.Second, true, true, true, ""},
-		{"no other is up for long", 2, 4 * time.Second, false, true, false, ""},
-		{"there is no other", 1, 0, false, true, false, ""},
-		{"the other serves another service", 2, 0, false, true, false, "other"},
+		{"the other is not ready", 2, 2 * time.Second, false, false, false, ""},
+		{"the other is ready again", 2, 2 * time.Second, true, true, true, ""},
+		{"the other is not ready for a long time", 2, 4 * time.Second, false, true, false, ""},
+		{"there is no other VM", 1, 0, false, true, false, ""},
+		{"the other serves a different service", 2, 0, false, true, false, "other"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newVMs(t, c.vms)
@@ -191,7 +193,8 @@
 			qt.Assert(t, b.orders[1].Tasks[0].AloneFor > 0, qt.IsTrue)
 			o := b.orders[1]
 			b.table.HandleCrashes(b.now, []fleet.Crash{{
-				Task: o.Task(0), VM: ident.UpstreamName(first.String()), Life: ident.UpstreamLife{ID: "second"}, Loss: 2, Age: time.Millisecond, Alone: true, OnlyTask: true,
+				Task: o.Task(0), VM: ident.UpstreamName(first.String()), Life: ident.UpstreamLife{ID: "second"},
+				Loss: 2, Age: time.Millisecond, Alone: true, OnlyTask: true,
 			}})
 			b.room(first, fleet.Unreachable, 2000, o.Seq)
 			b.end(o, 0, job.Lost, fleet.LeaseLapsed)
@@ -208,7 +211,8 @@
 	}
 }
 
-// TestSuspectIsAProbe: where no upstream is ready, a suspected task is what finds out whether one is sound again.
+// TestSuspectIsAProbe: if no upstream is ready, a suspected task may serve as the probe that finds out whether an upstream
+// has recovered.
 func TestSuspectIsAProbe(t *testing.T) {
 	b := newVMs(t, 2)
 	b.submit(1, 1, 1, time.Second, 10*time.Second)
@@ -222,8 +226,8 @@
 	qt.Assert(t, b.orders[1].agent, qt.Equals, other)
 }
 
-// TestSuspectsLeaveRoom: while many tasks are suspected, an entry has one upstream in eight closed for them, but one at least, and places
-// what is behind them in the queue on the others; as many entries more close no more together.
+// TestSuspectsLeaveRoom guards against suspected tasks that take all upstreams. An entry closes one upstream in eight for
+// them, but at least one, and places the jobs behind them in the queue on the others. Several entries share this limit.
 func TestSuspectsLeaveRoom(t *testing.T) {
 	for _, c := range []struct{ vms, entries, closed int }{
 		{6, 1, 1}, {11, 3, 1}, {64, 1, 8}, {128, 1, 16}, {64, 2, 4}, {128, 4, 4}, {256, 8, 4},
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -1,8 +1,9 @@
-// Package dispatch keeps an entry's jobs and places their tasks on upstreams. It is a state machine without
-// I/O and without a clock of its own; one goroutine uses it.
+// Package dispatch holds an entry's jobs and places their tasks on upstreams. It is a state machine: it does no I/O, has no
+// clock of its own, and is used by a single goroutine.
 //
-// The entry that holds a caller's connection acts for the job. Nothing is kept elsewhere: when the entry is
-// lost, agents stop its runs, and the caller sends the job again.
+// The entry that holds a caller's connection is responsible for the job, and its state exists only there. If the entry is
+// lost, the agents stop its runs, and the caller submits the job again. Kept jobs are the exception: their state is also
+// stored outside this package, so they outlive their entry (see Keeper).
 package dispatch
 
 import (
@@ -22,157 +23,166 @@
 	"hillreel/internal/entry/unconfirmed"
 )
 
-// CallerID names one request of a caller that waits for an answer.
+// CallerID identifies one request whose caller waits for an answer.
 type CallerID uint64
 
-// Request is a job as a caller submits it.
+// Request is a job as submitted by a caller.
 type Request struct {
 	Job  job.ID
 	Spec *job.Spec
-	// Route is the queue's configuration when the request came.
+	// Route is the queue's configuration at the time of the request.
 	Route  route.Route
 	Caller CallerID
-	// Sender is the caller's own id of the request, for the log; it may be empty.
+	// RequestID is the id that the caller gave the request. It is used only for logging and may be empty.
 	RequestID string
-	// Deadline is when the caller stops waiting; zero is never.
+	// Deadline is the time until which the caller waits; the zero time means no limit.
 	Deadline time.Time
-	// Kept is nil for a job that ends with its entry. For others it is what is known of the job; no caller waits, and the
-	// Keeper hears of its ends.
+	// Kept is nil for a job that ends with its entry. For a kept job it holds the stored state. No caller waits for a kept
+	// job; its results are reported to the Keeper.
 	Kept *KeptState
 }
 
-// Kept is what is known of a job that outlives entries, as it begins here.
+// KeptState is the stored state of a kept job at the time it starts at this entry.
 type KeptState struct {
-	// Done are the tasks that have ended well, Failures counts the failed runs of others.
+	// Done holds the tasks that have succeeded. Failures counts the failed runs of the other tasks.
 	Done     map[job.TaskID]bool
 	Failures map[job.TaskID]int
-	// Crashes are of tasks that upstreams were lost under.
+	// Crashes lists the recorded upstream losses during runs of the job's tasks.
 	Crashes []fleet.Crash
-	// Checkpoints are what runs have saved.
+	// Checkpoints holds the newest checkpoint saved for each task.
 	Checkpoints map[job.TaskID]string
-	// Late: the job was taken over from another entry, and can't be in time any more.
+	// Late is set if the job was taken over from another entry and can no longer meet its objective.
 	Late bool
-	// Runs is the highest number of a run that an earlier entry may have used.
+	// LastRun is the highest run number that an earlier entry may have used.
 	LastRun job.Run
 }
 
-// Keeper keeps jobs that outlive entries.
+// Keeper stores kept jobs, which outlive their entry.
 type Keeper interface {
-	// RunEnded is called when a run has ended well or has failed: the upstream remembers it until it is noted.
+	// RunEnded is called when a run has succeeded or failed. The upstream remembers the result until it has been stored.
 	RunEnded(now time.Time, agent ident.Incarnation, e fleet.End)
-	// RunLost is called when a run was at an agent that is out of hearing: it may have ended well there, unheard. The task
-	// is placed again by PlaceAgain.
+	// RunLost is called when a run was lost and the store must be consulted before its task may run again: either its agent
+	// is unreachable, so the run may have succeeded there without this entry learning of it, or its crash must be stored
+	// first. The Keeper releases the task with PlaceAgain.
 	RunLost(now time.Time, r fleet.RunRef)
-	// Crashed is called when an upstream was lost under a task of a kept job that is held, ahead of its run's end.
+	// Crashed is called when an upstream was lost while it ran a task of a kept job that this entry holds. The call
+	// precedes the one for the end of the run.
 	Crashed(now time.Time, c fleet.Crash)
-	// Refuted is called when a life that was taken for lost has answered since.
+	// Refuted is called when an upstream incarnation that was considered lost has answered after all.
 	Refuted(now time.Time, r fleet.Refutation)
 	// JobEnded is called once a job has ended.
 	JobEnded(now time.Time, j job.ID, a Answer)
-	// Superseded is called when another entry is at the job.
+	// Superseded is called when another entry has started runs of the job.
 	Superseded(now time.Time, j job.ID)
 }
 
-// Answer is the final word on a request.
+// Answer is the final response to a request.
 type Answer struct {
 	State   verdict.State
 	Verdict verdict.Verdict
 	Reason  verdict.Reason
-	// RetryAfter is when to come back, with a refusal.
+	// RetryAfter is set on refusals. It is the time after which the caller may try again.
 	RetryAfter time.Duration
 }
 
-// Agents sends to agents.
+// Agents sends messages to agents.
 type Agents interface {
 	Order(agent ident.Incarnation, o fleet.Order)
-	// Stop asks for the end of a run: nobody wants it any more, or, with fleet.Moved, its task is to go elsewhere.
+	// Stop asks an agent to end a run, either because it is no longer wanted or, with fleet.Moved, because its task is to
+	// run elsewhere.
 	Stop(agent ident.Incarnation, r fleet.OrderedRun, why fleet.Reason)
-	// Crashes tells all agents of tasks that upstreams were lost under.
+	// SendCrashes tells all agents which tasks were running when upstreams were lost.
 	SendCrashes(all []fleet.Crash)
-	// Holding tells an agent, for its other entries, which jobs this entry has held for long.
+	// AnnounceHeld asks an agent to tell its other entries which jobs this entry has held for a long time.
 	AnnounceHeld(agent ident.Incarnation, jobs []job.ID)
-	// Release asks for a job that another entry holds, which the agent passes on if that is linked.
+	// RequestRelease asks for the release of a job that another entry holds. The agent forwards the request if it is linked
+	// to that entry.
 	RequestRelease(agent ident.Incarnation, id job.ID, holder ident.Incarnation)
-	// Released tells an agent, for the entry that takes a job over, that nothing of it remains.
+	// SendReleased tells an agent that nothing remains of a job here. The agent forwards this to the entry that takes the
+	// job over.
 	SendReleased(agent ident.Incarnation, r fleet.Released)
 }
 
-// Callers answers callers.
+// Callers delivers answers to callers.
 type Callers interface {
 	Answer(c CallerID, a Answer)
 }
 
-// Observer is told of decisions, for logs and metrics.
+// Observer is notified of decisions, for logging and metrics.
 type Observer interface {
-	// Taken is called when a job is taken.
+	// Taken is called when a new job is taken.
 	Taken(r *Request)
-	// Placed is called for each order.
+	// Placed is called for each order sent to an agent.
 	Placed(j job.ID, agent ident.UpstreamName, o *fleet.Order, waited time.Duration)
-	// Ended is called for each end of a run that this entry ordered.
+	// Ended is called for each end of a run that this entry ordered; next names what happens to the task.
 	Ended(agent ident.UpstreamName, e fleet.End, next string)
 	// Answered is called once for each job.
 	Answered(j job.ID, r *route.Route, a Answer, s Summary)
-	// StopsAsked is called when runs of a job are to be stopped.
+	// StopsRequested is called when runs of a job are to be stopped.
 	StopsRequested(s Stops)
-	// CameAgain is called for a request of a job that is held.
+	// Resubmitted is called for a request whose job this entry already holds.
 	Resubmitted(r *Request, h HeldJob)
-	// OutOfTouch is called when the entry has heard nothing for so long that its callers may have gone unheard, with how many jobs are given up.
+	// OutOfTouch is called when the entry has received nothing for so long that disconnected callers may have gone
+	// unnoticed. jobs is the number of jobs given up.
 	OutOfTouch(silent time.Duration, jobs int)
-	// Belated is called for a request that waits for the end of its connection, which may come right behind it.
+	// Belated is called for a request that is held back in case the end of its connection follows.
 	Belated(r *Request)
-	// TakenOver is called when a job is asked for that another entry holds, or is given up to one that asks.
+	// TakeoverChanged is called for each step of a takeover, both when this entry asks for a job that another entry holds
+	// and when it gives one up to another entry.
 	TakeoverChanged(id job.ID, other ident.Incarnation, waited time.Duration, event TakeoverEvent)
-	// AgentChanged is called when the session with an agent ends or goes on while runs of this entry are there, and when
-	// those runs are settled; runs is how many the event is about.
+	// AgentChanged is called when the session with an agent ends or resumes while runs of this entry are there, and when
+	// those runs are settled. runs is the number of runs concerned.
 	AgentChanged(agent ident.UpstreamName, runs int, event AgentEvent)
 }
 
-// AgentEvent is what becomes of the runs at an agent whose session has ended.
+// AgentEvent tells what happens to the runs at an agent whose session has ended.
 type AgentEvent string
 
-// The events of agents.
+// The agent events.
 const (
-	// AgentLost: the session has ended; the runs may go on.
+	// AgentLost: the session has ended; the runs may continue.
 	AgentLost AgentEvent = "agent_lost"
-	// AgentResumed: the agent is linked again, and the runs go on.
+	// AgentResumed: the agent is linked again, and the runs continue.
 	AgentResumed AgentEvent = "agent_resumed"
-	// AgentSettled: nothing of the runs remains, and their tasks may be placed again.
+	// AgentSettled: none of the runs remains, and their tasks may be placed again.
 	AgentSettled AgentEvent = "agent_settled"
 )
 
-// Allowed tells whether configuration lets an upstream serve a service.
+// Allowed reports whether the configuration lets an upstream serve a service.
 type Allowed func(ident.UpstreamName, ident.Zone, ident.Service) bool
 
-// Summary is what a job's answer rests on.
+// Summary describes how a job went, for the log line of its answer.
 type Summary struct {
-	// Took is the time since the job was submitted, Waited until its first task was placed.
+	// Took is the time since the job was submitted. Waited is the part of it before the first task was placed.
 	Took, Waited time.Duration
 	Objective    time.Duration
-	// Sender is the newest caller's own id of the request.
+	// RequestID is the newest caller's own id of its request.
 	RequestID string
-	// Tasks is the number of tasks, Runs that of their runs, Failures that of the failed ones.
+	// Tasks is the number of tasks, Runs the number of their runs, and Failures the number of failed runs.
 	Tasks, Runs, Failures int
-	// Longest is the run time of the longest task.
+	// Longest is the run time of the longest run.
 	Longest time.Duration
-	// Blamed are the upstreams that failed, stalled or lost a run.
+	// Blamed lists the upstreams at which a run failed, stalled or was lost.
 	Blamed []ident.UpstreamID
-	// SentBefore: it was taken for one that its caller had sent before, and went behind others.
+	// Resent is set if the job was classified as one that its caller had submitted before. Such a job waits behind the
+	// others.
 	Resent bool
-	// Queued is the number of jobs that waited for room when the answer was given.
+	// Queued is the number of jobs that were waiting for capacity when the answer was given.
 	Queued int
-	// Room is what a refused job could have had when it was refused; it is empty for others.
+	// Room is the capacity that was known when the job was refused. It is empty for other answers.
 	Room RoomLeft
 }
 
-// RoomLeft is the room that an entry knows of for a job that it refuses. It tells overload from room that is there and
-// can't be used.
+// RoomLeft is the capacity that an entry knew of when it refused a job. It distinguishes overload from capacity that exists
+// but cannot be used.
 type RoomLeft struct {
-	// Wants is what a task of the job's widest step asks for, in thousandths of a core; Tasks is how many of them wait.
+	// TaskCPU is the CPU that a task of the step with the most waiting tasks requires, in thousandths of a core. Tasks is
+	// the number of that step's waiting tasks.
 	TaskCPU int64
 	Tasks   int
-	// Ready counts the upstreams that take work, Fits how many more such tasks they have room for together.
+	// Ready counts the upstreams that accept work, Fits how many more such tasks they have capacity for in total.
 	Ready, Fits int
-	// Closed is how many upstreams this entry has closed for tasks that may have crashed others.
+	// Closed is the number of upstreams that this entry has closed to other tasks while a suspected task runs there.
 	Closed int
 }
 
@@ -181,13 +191,13 @@
 	Timing fleet.Timing
 	// Zone is this entry's availability zone.
 	Zone ident.Zone
-	// MaxQueue bounds the jobs that wait for room; more are refused.
+	// MaxQueue limits the number of jobs that wait for capacity; further jobs are refused.
 	MaxQueue int
-	// MaxTasks bounds one job.
+	// MaxTasks limits the number of tasks of one job.
 	MaxTasks int
-	// AgentLinks is to how many entries an agent links at most; zero is all.
+	// AgentLinks is the number of entries that an agent links to at most; zero means all.
 	AgentLinks int
-	// Without leaves out safety rules, for experiments only.
+	// Without disables safety rules, for experiments only.
 	Without rule.Set
 }
 
@@ -202,105 +212,109 @@
 
 	jobs   map[job.ID]*jobState
 	queues map[ident.Service]*queue.Queue[*jobState]
-	// queued lists the queues in the order in which they were made, so that runs repeat.
+	// queueList lists the queues in order of creation, to make runs reproducible.
 	queueList []*queue.Queue[*jobState]
 	agents    map[ident.Incarnation]*agentState
-	// order lists the agents in the order in which they were linked, so that runs repeat.
+	// agentList lists the agents in the order in which they linked, to make runs reproducible.
 	agentList []*agentState
-	// began is when Tick was called first, ticked when it was last. The process last stood still from stoodFrom until woke.
+	// firstTick and lastTick are the times of the first and the last call of Tick. The process was last paused from
+	// pausedFrom until pausedUntil.
 	firstTick, lastTick, pausedFrom, pausedUntil time.Time
-	// pressure is how much more than what fits was lately asked for.
+	// pressure estimates how much recent demand has exceeded capacity.
 	pressure demand.Pressure
-	// patient tells which callers have sent their job before.
+	// resends detects callers that have submitted their job before.
 	resends *demand.ResendDetector
-	// crashes is what is known of the tasks that upstreams were lost under.
+	// crashes holds the recorded upstream losses and the tasks that were running then.
 	crashes *crash.Tracker
-	// alone are the runs that upstreams are closed for; entries is how many entries share the upstreams, one at least.
+	// exclusive lists the runs for which an upstream is closed to other tasks. entries is the number of entries that share
+	// the upstreams, at least one.
 	exclusive []exclusiveRun
 	entries   int
-	// doubts are runs that were lost with their agents.
+	// unconfirmed holds runs that were lost together with their agents.
 	unconfirmed unconfirmed.Crashes
-	// paces are those of the agents that are linked, sorted; pace is their median, 1 while none is known.
+	// paces holds the paces of the linked agents, sorted. pace is their median, or 1 if none is known.
 	paces []float64
 	pace  float64
-	// fresh is true while there are tasks to place for which no agent was looked at yet.
+	// unplaced is set while there are waiting tasks that have not been checked against all agents yet.
 	unplaced bool
-	// lost counts the agents that were linked and are not.
+	// lostAgents counts the agents whose session has ended but which are not forgotten yet.
 	lostAgents int
-	// allowed tells whether configuration lets an upstream serve a service.
+	// allowed reports whether the configuration lets an upstream serve a service.
 	allowed Allowed
-	// cordoned are the availability zones that operators have cordoned, gated counts by zone the orders that agents have refused
-	// for that reason.
+	// cordoned lists the availability zones that operators have cordoned. cordonRefusals counts, by zone, the orders that
+	// agents have refused for that reason.
 	cordoned       []ident.Zone
 	cordonRefusals map[ident.Zone]int64
-	// touch says whether the entry is in touch, belated are requests that came soon after it was not.
+	// contact tells whether messages from agents and callers arrive. belated holds the requests that are held back because
+	// they may have been sent long ago.
 	contact contact
 	belated []belatedRequest
-	// elsewhere is which jobs other entries hold; releases are the jobs that they were asked to give up, owed the answers to such questions
-	// of others that wait for the end of runs.
+	// holders tells which jobs other entries hold. releases holds the jobs that those entries were asked to release.
+	// replies holds the answers to such requests of other entries, which are sent once the job's runs have ended.
 	holders  *holders.Registry
 	releases map[job.ID]*releaseRequest
 	replies  map[job.ID][]releaseReply
-	// relay counts the messages that agents were asked to pass on.
+	// nextRelay selects the first of the agents that are asked to forward the next message.
 	nextRelay int
-	// closing is true once the entry is about to end.
+	// closing is set once the entry is about to shut down.
 	closing bool
-	// ordered is the id of the newest run.
+	// lastRunID is the id of the newest run.
 	lastRunID fleet.RunID
-	// stopped are the runs that stops were sent for, until the observer is told.
+	// unreportedStops lists the runs for which stops were sent and which have not been reported to the observer yet.
 	unreportedStops []RunAt
 }
 
-// New returns an empty Table. The seed makes runs repeatable.
+// New returns an empty Table. The seed makes runs reproducible.
 func New(o Options, a Agents, c Callers, ob Observer, seed uint64) *Table {
 	return &Table{
 		opts: o, agentsIO: a, callers: c, observer: ob, rng: rand.New(rand.NewPCG(seed, 0)),
 		jobs: make(map[job.ID]*jobState), queues: make(map[ident.Service]*queue.Queue[*jobState]),
-		agents: make(map[ident.Incarnation]*agentState), pace: 1, entries: 1, resends: demand.NewResendDetector(), crashes: crash.New(o.Without), cordonRefusals: make(map[ident.Zone]int64),
+		agents: make(map[ident.Incarnation]*agentState), pace: 1, entries: 1, resends: demand.NewResendDetector(),
+		crashes: crash.New(o.Without), cordonRefusals: make(map[ident.Zone]int64),
 		holders: holders.New(), releases: make(map[job.ID]*releaseRequest), replies: make(map[job.ID][]releaseReply),
 		allowed: func(ident.UpstreamName, ident.Zone, ident.Service) bool { return true },
 	}
 }
 
-// SetKeeper sets who keeps the jobs that outlive this entry; before that, none may be submitted.
+// SetKeeper sets the Keeper. It must be called before any kept job is submitted.
 func (t *Table) SetKeeper(k Keeper) { t.keeper = k }
 
-// SetAllowed replaces what configuration lets upstreams serve.
+// SetAllowed replaces the function that reports which upstreams may serve a service.
 func (t *Table) SetAllowed(f Allowed) { t.allowed = f }
 
-// SetEntries says how many entries share the upstreams, this one included.
+// SetEntries sets the number of entries that share the upstreams, including this one.
 func (t *Table) SetEntries(n int) { t.entries = max(1, n) }
 
-// Pace is the median of the upstreams' paces; zero is unknown.
+// Pace returns the median of the upstreams' paces, or 1 if none is known.
 func (t *Table) Pace() float64 { return t.pace }
 
-// Jobs returns how many jobs are held, those that are only being stopped included.
+// Jobs returns the number of jobs held, including those whose remaining runs are only being stopped.
 func (t *Table) Jobs() int { return len(t.jobs) }
 
-// Held tells whether a job waits for its answer.
+// Held reports whether this entry holds a job without an answer, including one whose request is held back.
 func (t *Table) Held(id job.ID) bool {
 	j := t.jobs[id]
-	return j != nil && j.hasWaitingCallers() || t.isBelated(id)
+	return j != nil && j.isUnanswered() || t.isBelated(id)
 }
 
-// awaited tells whether callers wait for the job's answer, or for that of its successor.
-func (j *jobState) hasWaitingCallers() bool { return !j.ending || len(j.resubmitted) > 0 }
+// isUnanswered reports whether the job has no answer yet, or will be started anew because it was resubmitted.
+func (j *jobState) isUnanswered() bool { return !j.ending || len(j.resubmitted) > 0 }
 
-// Unanswered returns how many jobs have callers that wait.
+// Unanswered returns the number of jobs without an answer, including those whose request is held back.
 func (t *Table) Unanswered() int {
 	n := len(t.belated)
 	for _, j := range t.jobs {
-		if j.hasWaitingCallers() {
+		if j.isUnanswered() {
 			n++
 		}
 	}
 	return n
 }
 
-// NotBegun counts a queue's jobs none of whose tasks has begun.
+// NotBegun counts the jobs of a queue of which no run has started.
 func (t *Table) NotBegun(r route.Name) int { return t.Waiting()[r] }
 
-// Waiting counts the jobs that have not begun, by queue.
+// Waiting counts, by queue, the jobs of which no run has started.
 func (t *Table) Waiting() map[route.Name]int {
 	out := make(map[route.Name]int)
 	for _, j := range t.jobs {
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -19,7 +19,7 @@
 	KeepAlive: 100 * time.Millisecond,
 }
 
-// queue is a queue with an objective of 100 ms and 1.6 times the work.
+// queue has an objective of 100 ms plus 1.6 times the estimated work.
 var queue = route.Route{Name: "r", Service: "publish", Target: 100 * time.Millisecond, Stretch: 1.6, Attempts: 2}
 
 type order struct {
@@ -27,7 +27,7 @@
 	fleet.Order
 }
 
-// run names one run of the order.
+// run identifies one run of the order.
 func (o *order) run(i int) fleet.OrderedRun {
 	return fleet.OrderedRun{RunRef: fleet.RunRef{Task: o.Task(i), Run: o.Tasks[i].Run}, ID: o.Tasks[i].ID}
 }
@@ -38,19 +38,19 @@
 	why   fleet.Reason
 }
 
-// bench drives a Table by hand.
+// harness drives a Table step by step and records the messages that it sends.
 type harness struct {
 	t      *testing.T
 	now    time.Time
 	table  *dispatch.Table
 	orders []order
-	// questions are the orders without tasks.
+	// queries holds the orders without tasks.
 	queries []order
 	stops   []stop
 	answers map[dispatch.CallerID]dispatch.Answer
-	// summaries are what the answers rested on.
+	// summaries holds the summary of each answered job.
 	summaries map[job.ID]dispatch.Summary
-	// told and again are what observers heard of stops, and of callers that came again.
+	// stopReports and resubmissions hold what the observer was told of stops and of resubmitted jobs.
 	stopReports   []dispatch.Stops
 	resubmissions []dispatch.HeldJob
 	takeovers
@@ -80,7 +80,7 @@
 func (b *harness) OutOfTouch(time.Duration, int) {}
 func (b *harness) Belated(*dispatch.Request)     {}
 
-// newBench returns a Table with agents 1 to n linked, each with an upstream of the same number and two cores.
+// newHarness returns a Table with agents 1 to n linked, each with an upstream of the same number and two cores.
 func newHarness(t *testing.T, n int) *harness {
 	b := &harness{t: t, now: time.Unix(1000, 0), answers: make(map[dispatch.CallerID]dispatch.Answer)}
 	b.table = dispatch.New(dispatch.Options{Timing: timing, Zone: "z", MaxQueue: 10, MaxTasks: 20}, b, b, b, 1)
@@ -112,7 +112,7 @@
 	b.table.HandleEnd(b.now, o.agent, fleet.End{Task: o.Task(i), Run: o.Tasks[i].Run, ID: o.Tasks[i].ID, Outcome: what, Reason: why})
 }
 
-// pass lets time pass in ticks.
+// pass advances time in ticks.
 func (b *harness) pass(d time.Duration) {
 	for range int(d / (20 * time.Millisecond)) {
 		b.now = b.now.Add(20 * time.Millisecond)
@@ -120,7 +120,7 @@
 	}
 }
 
-// TestRefusals: what is refused at once, and that it promises not to run.
+// TestRefusals covers jobs that are refused at once. Each refusal promises that the job has not run.
 func TestRefusals(t *testing.T) {
 	spec := func(tasks uint32) *job.Spec {
 		return &job.Spec{BestEffort: true, Steps: []job.Step{{Count: tasks, Each: job.Resources{CPU: 1000}, Estimate: time.Second}}}
@@ -130,8 +130,8 @@
 		spec *job.Spec
 		want verdict.Reason
 	}{
-		{"feature that is lacking", &job.Spec{BestEffort: true, Unsupported: "gang", Steps: spec(1).Steps}, verdict.Unsupported},
-		{"to be kept", &job.Spec{Steps: spec(1).Steps}, verdict.Unsupported},
+		{"unsupported feature", &job.Spec{BestEffort: true, Unsupported: "gang", Steps: spec(1).Steps}, verdict.Unsupported},
+		{"must be kept", &job.Spec{Steps: spec(1).Steps}, verdict.Unsupported},
 		{"too many tasks", spec(21), verdict.TooLarge},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -145,8 +145,9 @@
 	}
 }
 
-// TestLateEndOfFormerRun: a job is given up and sent again at once, and what the agent says of the former run (the answer to
-// its stop, which crossed its end) comes when the new run, of the same number, is under way: that goes on.
+// TestLateEndOfFormerRun guards against a new run that is ended by a message about an old one. A job is given up and
+// resubmitted at once. While the new run, which has the same number, is in progress, the agent's reply to the old run's
+// stop arrives, which crossed the old run's end. The new run continues.
 func TestLateEndOfFormerRun(t *testing.T) {
 	for _, late := range []fleet.End{
 		{Outcome: job.NotStarted, Reason: fleet.NotListed},
@@ -175,9 +176,10 @@
 	}
 }
 
-// TestNoRoom: a job that finds no room waits for the fourth part of its objective, whatever its estimate leaves, and
-// is then refused with when to come back. While no upstream takes work it waits as long as it can be in time.
-// Jobs were refused on arrival with upstreams free (canteen, grown: 1,084 of 18,149 on a quiet day).
+// TestNoRoom guards against jobs that are refused on arrival although upstreams are free, as happened to 1,084 of 18,149
+// jobs at one site on a quiet day. A job that finds no capacity waits for one fourth of its objective, regardless of its
+// estimate, and is then refused with a time after which to try again. While no upstream accepts work, it waits for as long
+// as it can be in time.
 func TestNoRoom(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -187,12 +189,12 @@
 		estimate time.Duration
 		waits    time.Duration
 	}{
-		{"room", fleet.Ready, 2000, 1, time.Second, 0},
-		{"room, and the estimate leaves nothing", fleet.Ready, 2000, 3, time.Second, 0},
-		{"no room", fleet.Ready, 0, 1, time.Second, 425 * time.Millisecond},
-		{"no room, and the estimate leaves nothing", fleet.Ready, 0, 3, time.Second, 425 * time.Millisecond},
-		{"no upstream takes work", fleet.Clearing, 2000, 1, time.Second, 690 * time.Millisecond},
-		{"no upstream takes work, and the estimate leaves nothing", fleet.Clearing, 2000, 3, time.Second, 425 * time.Millisecond},
+		{"free capacity", fleet.Ready, 2000, 1, time.Second, 0},
+		{"free capacity, and the estimate exceeds the objective", fleet.Ready, 2000, 3, time.Second, 0},
+		{"no capacity", fleet.Ready, 0, 1, time.Second, 425 * time.Millisecond},
+		{"no capacity, and the estimate exceeds the objective", fleet.Ready, 0, 3, time.Second, 425 * time.Millisecond},
+		{"no upstream accepts work", fleet.Clearing, 2000, 1, time.Second, 690 * time.Millisecond},
+		{"no upstream accepts work, and the estimate exceeds the objective", fleet.Clearing, 2000, 3, time.Second, 425 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newHarness(t, 1)
@@ -213,8 +215,8 @@
 	}
 }
 
-// TestFailures: a task that fails runs elsewhere, its job fails after enough different upstreams, and a stalled or
-// refused run is no failure.
+// TestFailures: a task that fails runs at another upstream next, and its job fails after failures at enough different
+// upstreams. A stalled or refused run does not count as a failure.
 func TestFailures(t *testing.T) {
 	b := newHarness(t, 4)
 	b.submit(7, 1, 1, time.Second, time.Minute)
@@ -240,16 +242,16 @@
 	qt.Assert(t, b.answers[2].State, qt.Equals, verdict.Complete)
 }
 
-// TestSentAgain: what happens to a job whose id is held already.
+// TestSentAgain covers the submission of a job whose id is held already.
 func TestSentAgain(t *testing.T) {
 	b := newHarness(t, 1)
 	b.submit(7, 1, 1, time.Second, time.Minute)
 	b.submit(7, 2, 1, time.Second, time.Minute)
-	qt.Assert(t, b.orders, qt.HasLen, 1) // it joins the run
+	qt.Assert(t, b.orders, qt.HasLen, 1) // the request joins the run
 	b.submit(7, 3, 2, time.Second, time.Minute)
 	qt.Assert(t, b.answers[3].Reason, qt.Equals, verdict.DifferentBody)
 	b.table.Abandon(b.now, 7, 1)
-	qt.Assert(t, b.stops, qt.HasLen, 0) // another caller waits
+	qt.Assert(t, b.stops, qt.HasLen, 0) // another caller still waits
 	b.table.Abandon(b.now, 7, 2)
 	qt.Assert(t, b.stops, qt.HasLen, 1)
 	b.submit(7, 4, 1, time.Second, time.Minute)
@@ -262,16 +264,16 @@
 	qt.Assert(t, b.table.Jobs(), qt.Equals, 0)
 }
 
-// TestRequestsOfAStandstill: a request that came while the process stood still may be as old as that; its caller may
-// have gone elsewhere, unseen.
+// TestRequestsOfAStandstill guards against jobs that two entries run at once. A request that arrived while the process was
+// paused may be as old as the pause, and its caller may have gone to another entry unnoticed.
 func TestRequestsOfAStandstill(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		patience time.Duration
 		runs     bool
 	}{
-		{"patience is over", time.Second, false},
-		{"patience may remain", 4 * time.Second, true},
+		{"the caller has stopped waiting", time.Second, false},
+		{"the caller may still wait", 4 * time.Second, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newHarness(t, 1)
@@ -287,7 +289,7 @@
 	}
 }
 
-// TestOneProbe: a suspect upstream gets one task from the entry whose turn it is.
+// TestOneProbe: a suspect upstream receives a single task, from the entry that was asked to probe it.
 func TestOneProbe(t *testing.T) {
 	b := newHarness(t, 1)
 	b.room(1, fleet.Suspect, 2000, 0)
@@ -298,7 +300,8 @@
 	qt.Assert(t, b.orders[0].Tasks, qt.HasLen, 1)
 }
 
-// TestSteps: a step begins when those before it have ended, and no more of its tasks than allowed share an upstream.
+// TestSteps: a step begins when the preceding steps have finished, and no more of its tasks share an upstream than
+// MaxPerUpstream allows.
 func TestSteps(t *testing.T) {
 	b := newHarness(t, 2)
 	b.table.Submit(b.now, dispatch.Request{Job: 7, Route: queue, Caller: 1, Spec: &job.Spec{BestEffort: true, Steps: []job.Step{
@@ -315,8 +318,8 @@
 	qt.Assert(t, b.answers[1].State, qt.Equals, verdict.Complete)
 }
 
-// TestSlowUpstream: a task on an upstream that has become slow goes elsewhere when that lets its job be in time, or at
-// least not too late; it is placed anew only once its run has ended.
+// TestSlowUpstream: a task on an upstream that has become slow is moved if its job can then be in time, or at least not too
+// late. The task is placed elsewhere only once its run has ended.
 func TestSlowUpstream(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -328,8 +331,8 @@
 		{"in time where it is", 200 * time.Millisecond, time.Second, 2000, false},
 		{"late where it is, in time elsewhere", 200 * time.Millisecond, 5 * time.Second, 2000, true},
 		{"late both ways", 1500 * time.Millisecond, 2 * time.Second, 2000, false},
-		{"of no use where it is, late elsewhere", 1500 * time.Millisecond, 5 * time.Second, 2000, true},
-		{"no room elsewhere", 200 * time.Millisecond, 5 * time.Second, 0, false},
+		{"useless where it is, late elsewhere", 1500 * time.Millisecond, 5 * time.Second, 2000, true},
+		{"no capacity elsewhere", 200 * time.Millisecond, 5 * time.Second, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newHarness(t, 2)
@@ -355,8 +358,8 @@
 	}
 }
 
-// TestSlowUpstreamIsTheLastResort: a task that would make its job late on a slow upstream waits for another while its
-// job may wait; one that is in time there all the same does not.
+// TestSlowUpstreamIsTheLastResort: a task that would make its job late on a slow upstream waits for another upstream while
+// its job may wait. A task whose job can be in time on the slow upstream does not wait.
 func TestSlowUpstreamIsTheLastResort(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -386,8 +389,8 @@
 	}
 }
 
-// TestKeptJobWaitsForItsId: an id that runs as a job that is not kept, and is sent again as one to be kept, begins as that
-// once the first has ended; before, it never began, and was called running for ever.
+// TestKeptJobWaitsForItsId guards against a kept job that never begins but is reported as running forever. A job that is
+// not kept runs, and the same id is submitted as a kept job. The kept job begins once the first one has ended.
 func TestKeptJobWaitsForItsId(t *testing.T) {
 	b := newHarness(t, 1)
 	b.submit(7, 1, 1, time.Second, time.Minute)
--- a/internal/entry/dispatch/ends.go
+++ b/internal/entry/dispatch/ends.go
@@ -11,11 +11,13 @@
 	"hillreel/internal/entry/retry"
 )
 
-// minAttempts is how many failed runs at different upstreams it takes at least to fail a job that need not be
-// kept. A bad upstream fails what it starts at once, so that a job's own two attempts could both meet one.
+// minAttempts is the minimum number of failed runs, each at a different upstream, after which a job that is not kept fails.
+// A bad upstream fails every run at once, so with only the two attempts that jobs usually have, both could meet a bad
+// upstream.
 const minAttempts = 3
 
-// attempts is after how many failed runs of a task the job has failed. For kept jobs the platform counts.
+// maxAttempts returns the number of failed runs of a task after which its job fails. For kept jobs the platform counts, so
+// the queue's own number of attempts applies without that minimum.
 func (j *jobState) maxAttempts() int {
 	if j.kept {
 		return max(j.route.Attempts, 1)
@@ -23,11 +25,11 @@
 	return max(j.route.Attempts, minAttempts)
 }
 
-// usedStep is by how much a run's number rises when the upstream has seen it: the job was sent before, and its
-// earlier entry has used numbers from 1 on.
+// usedRunSkip is added to a run number that the upstream has already seen. In that case the job was submitted before, and
+// its earlier entry has used numbers starting from 1.
 const usedRunSkip = 8
 
-// Ended handles the end of a run, and tells whether it was one that this entry waits for.
+// HandleEnd handles the end of a run. It reports whether this entry was waiting for that run.
 func (t *Table) HandleEnd(now time.Time, id ident.Incarnation, e fleet.End) bool {
 	a := t.agents[id]
 	if a == nil {
@@ -39,12 +41,12 @@
 	}
 	t.endRun(now, a, k, e)
 	if t.unplaced {
-		t.placeAll(now) // else there is nothing new to place, and news of the room follow
+		t.placeAll(now) // otherwise there is nothing new to place, and a report of the free capacity follows
 	}
 	return true
 }
 
-// ended takes a run off its agent and decides what becomes of the task.
+// endRun removes a run from its agent and decides what happens to its task.
 func (t *Table) endRun(now time.Time, a *agentState, k *task, e fleet.End) {
 	delete(a.runs, k.id)
 	j := k.job
@@ -67,7 +69,8 @@
 		k.phase = finished
 		t.keeper.Superseded(now, j.id)
 	case e.Reason == fleet.Superseded:
-		// The caller has sent the job to another entry; two entries that kept at it would stop each other's runs.
+		// The caller has submitted the job to another entry. If both entries went on, they would keep stopping each other's
+		// runs.
 		t.observer.Ended(a.Name, e, "job_superseded")
 		k.phase = finished
 		t.close(now, j, superseded)
@@ -80,7 +83,7 @@
 	}
 }
 
-// learn notes what a run's outcome says of its task, its job and the upstream.
+// recordOutcome records what a run's outcome says about its task, its job and the upstream.
 func (k *task) recordOutcome(upstream ident.UpstreamID, o job.Outcome) {
 	j := k.job
 	if o == job.Failed || o == job.Stalled || o == job.Lost {
@@ -97,16 +100,17 @@
 		k.run += usedRunSkip
 		j.runs--
 	case job.NotStarted:
-		// Nothing was started: what this job has begun is unchanged.
+		// Nothing was started, so the job's count of started runs is unchanged.
 		j.runs--
 	}
 }
 
-// goOn ends a task, or its job, or lets the task be placed again.
+// decideNext finishes a task, fails its job, waits for the store, or queues the task again.
 func (t *Table) decideNext(now time.Time, a *agentState, k *task, e fleet.End) {
 	j := k.job
 	action := retry.Decide(retry.End{
-		Outcome: e.Outcome, Reason: e.Reason, Failures: k.failures, MaxAttempts: j.maxAttempts(), Kept: j.kept, StoreFirst: t.mustStoreCrash(k, e.Outcome),
+		Outcome: e.Outcome, Reason: e.Reason, Failures: k.failures, MaxAttempts: j.maxAttempts(), Kept: j.kept,
+		StoreFirst: t.mustStoreCrash(k, e.Outcome),
 	})
 	t.observer.Ended(a.Name, e, string(action))
 	switch action {
@@ -124,7 +128,7 @@
 	}
 }
 
-// PlaceAgain lets a task of a kept job be placed whose last run was lost.
+// PlaceAgain queues a task of a kept job whose last run was lost, once the store allows it.
 func (t *Table) PlaceAgain(now time.Time, id job.TaskID) {
 	j := t.jobs[id.Job]
 	if j == nil || j.ending {
@@ -136,7 +140,7 @@
 	}
 }
 
-// done ends a task well, and its job with the last one.
+// completeTask finishes a task that has succeeded, and its job if it was the last task.
 func (t *Table) completeTask(now time.Time, k *task) {
 	j := k.job
 	k.phase = finished
@@ -152,7 +156,7 @@
 	}
 }
 
-// Tick does what time alone brings about.
+// Tick does everything that depends only on the passage of time.
 func (t *Table) Tick(now time.Time) {
 	t.contact.countListening(now)
 	if !t.lastTick.IsZero() && now.Sub(t.lastTick) > t.opts.Timing.Silence {
@@ -174,15 +178,15 @@
 	t.placeAll(now)
 }
 
-// expired tells whether a job's caller waits no longer.
+// expired reports whether the job's deadline has passed, so that its caller no longer waits.
 func (j *jobState) expired(now time.Time) bool {
 	return !j.kept && !j.deadline.IsZero() && now.After(j.deadline)
 }
 
-// tooLate tells whether a job has waited for as long as it may, and nothing of it was offered to an upstream.
+// waitedTooLong reports whether a job has waited for as long as it may without any of its tasks being sent to an upstream.
 func (j *jobState) waitedTooLong(now time.Time) bool { return !j.begun && now.After(j.waitUntil) }
 
-// giveUp answers a job that can't be served any more.
+// giveUpIfDue ends a job that has expired or has waited too long. A kept job is only moved behind the others.
 func (t *Table) giveUpIfDue(now time.Time, j *jobState) {
 	switch {
 	case j.ending:
@@ -198,7 +202,7 @@
 	}
 }
 
-// fallBehind lets a kept job that can't be in time any more wait behind those that can.
+// demote moves a kept job that can no longer meet its objective behind those that can.
 func (t *Table) demote(j *jobState) {
 	if j.late {
 		return
@@ -213,7 +217,7 @@
 	}
 }
 
-// expireJob gives up a job whose caller waits no longer.
+// expireJob gives up a job whose deadline has passed.
 func (t *Table) expireJob(now time.Time, j *jobState) {
 	if j.begun {
 		t.close(now, j, Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Deadline})
@@ -222,7 +226,7 @@
 	t.close(now, j, refused(verdict.Deadline))
 }
 
-// settleSilent settles agents that have been lost for so long that nothing runs there any more.
+// settleSilent settles the agents that have been lost for so long that no run remains there.
 func (t *Table) settleSilent(now time.Time) {
 	for _, a := range slices.Clone(t.agentList) {
 		if !a.Linked && now.Sub(a.ClockReadAt) >= t.opts.Timing.SettleAfter() {
@@ -231,7 +235,7 @@
 	}
 }
 
-// dueJobs lists the jobs that may have to be given up, or to wait behind others, the most urgent first.
+// dueJobs lists the jobs that may have to be given up or demoted, in queue order.
 func (t *Table) dueJobs(now time.Time) []*jobState {
 	var due []*jobState
 	for _, j := range t.jobs {
--- a/internal/entry/dispatch/job.go
+++ b/internal/entry/dispatch/job.go
@@ -10,106 +10,110 @@
 	"hillreel/internal/core/route"
 )
 
-// phase is where a task stands.
+// phase is the state of a task.
 type phase string
 
 const (
-	// blocked: a step before it has not ended.
+	// blocked: an earlier step has not finished.
 	blocked phase = "blocked"
-	// waiting: it can be placed.
+	// waiting: the task can be placed.
 	waiting phase = "waiting"
-	// placed: an agent has, or may have, it.
+	// placed: an agent has the task, or may have it.
 	placed phase = "placed"
-	// lost: its agent is lost, and it may still run there.
+	// lost: the session with the agent has ended, and the task may still run there.
 	lost phase = "lost"
-	// doubtful: nothing of it runs, but its last run may have ended well at an agent that is out of hearing.
+	// awaitingStore: no run of the task remains, but the store must be consulted before it may run again: its last run may
+	// have succeeded at an agent that is unreachable, or its crash must be stored first.
 	awaitingStore phase = "doubtful"
-	// over: nothing remains to be done.
+	// finished: nothing remains to be done.
 	finished phase = "over"
 )
 
-// task is one task of a job.
 type task struct {
 	id    job.TaskID
 	job   *jobState
 	phase phase
-	// run is the newest run's number, runID its id.
+	// run is the number of the newest run, runID its id.
 	run      job.Run
 	runID    fleet.RunID
 	agent    *agentState
 	failures int
-	// checkpoint is the newest one that a run has saved; empty is none.
+	// checkpoint is the newest one saved by a run, or empty.
 	checkpoint string
-	// avoid lists upstreams that failed or stalled the task, or from which it was moved.
+	// avoid lists the upstreams that failed or stalled the task or that it was moved away from.
 	avoid []ident.UpstreamID
-	// stopping is true once a stop was sent for the newest run, moving once that run was asked to make way for another.
+	// stopping is set once a stop was sent for the newest run, moving once that run was asked to end so that the task can
+	// run elsewhere.
 	stopping, moving bool
 }
 
-// shun lets the task avoid an upstream.
+// avoidUpstream makes the task avoid an upstream.
 func (k *task) avoidUpstream(upstream ident.UpstreamID) {
 	if !slices.Contains(k.avoid, upstream) {
 		k.avoid = append(k.avoid, upstream)
 	}
 }
 
-// ref names the newest run.
+// runRef identifies the newest run.
 func (k *task) runRef() fleet.RunRef { return fleet.RunRef{Task: k.id, Run: k.run} }
 
-// ordered names the newest run to its agent.
+// orderedRun identifies the newest run to its agent.
 func (k *task) orderedRun() fleet.OrderedRun {
 	return fleet.OrderedRun{RunRef: k.runRef(), ID: k.runID}
 }
 
-// jobState is one job.
+// jobState is the state of one job.
 type jobState struct {
 	id    job.ID
 	spec  *job.Spec
 	route route.Route
-	// kept: the job outlives its callers, and its Keeper hears of its ends.
+	// kept: the job outlives its callers, and its results are reported to the Keeper.
 	kept bool
-	// late: a kept job that can't be in time any more, or one that was sent before; jobs that can go first.
+	// late is set for a kept job that can no longer meet its objective and for a job that was resent. Such jobs wait behind
+	// those that can still be in time.
 	late bool
-	// callers wait for the answer; there are several when the job was sent again while it was held.
+	// callers lists the callers that wait for the answer. There are several if the job was submitted again while it was
+	// held.
 	callers   []CallerID
 	requestID string
 	submitted time.Time
 	deadline  time.Time
-	// tellAt is when other entries are told next that this one holds the job.
+	// announceAt is the next time at which other entries are told that this one holds the job.
 	announceAt time.Time
 	objective  time.Duration
-	// startBy is until when the job waits for room, goesBy orders those that wait: it is earlier for wide ones.
+	// waitUntil is the time until which the job waits for capacity. placeBy is the sort key among waiting jobs; it is
+	// earlier for jobs with many tasks.
 	waitUntil, placeBy time.Time
 
 	steps []stepState
-	// remaining counts the tasks that have not ended well, waiting those that can be placed, out those that an agent
-	// has or may have.
+	// remaining counts the tasks that have not succeeded, waiting those that can be placed, and outstanding those that an
+	// agent has or may have.
 	remaining, waiting, outstanding int
-	// runs counts the runs that were, or may have been, started; failures those that have failed.
+	// runs counts the runs that were, or may have been, started. failures counts the failed ones.
 	runs, failures int
 	// longest is the run time of the longest run.
 	longest time.Duration
-	// blamed are the upstreams that failed, stalled or lost a run.
+	// blamed lists the upstreams at which a run failed, stalled or was lost.
 	blamed []ident.UpstreamID
-	// firstAt is when the first task was placed.
+	// firstAt is the time at which the first task was placed.
 	firstAt time.Time
-	// begun is true once a run was, or may have been, started.
+	// begun is set once a run was, or may have been, started.
 	begun bool
-	// ending is true once the job was answered or given up, while runs of it may remain.
+	// ending is set once the job was answered or given up. Runs of it may still remain.
 	ending bool
-	// again was submitted meanwhile, under the same id.
+	// resubmitted lists requests for the same id that arrived meanwhile and start once the current runs have ended.
 	resubmitted []Request
 }
 
-// stepState is one step of a job.
+// stepState is the state of one step of a job.
 type stepState struct {
 	tasks []*task
-	// waiting are the tasks that can be placed, left counts those that have not ended well.
+	// waiting lists the tasks that can be placed. left counts the tasks that have not succeeded.
 	waiting []*task
 	left    int
 }
 
-// unblock queues the tasks of steps whose earlier steps have all ended.
+// unblock queues the tasks of the steps whose preceding steps have all finished.
 func (t *Table) unblock(j *jobState) {
 	for i, step := range j.spec.Steps {
 		ready := true
@@ -127,7 +131,7 @@
 	}
 }
 
-// wait queues a task.
+// enqueue marks a task as waiting and adds its job to the queue if needed.
 func (t *Table) enqueue(k *task) {
 	k.phase, k.agent, k.stopping, k.moving = waiting, nil, false, false
 	j := k.job
@@ -140,7 +144,7 @@
 	}
 }
 
-// unwait takes a task out of its queue.
+// dequeue removes a task from the waiting ones, and its job from the queue if no task of it waits any more.
 func (t *Table) dequeue(k *task) {
 	j := k.job
 	step := &j.steps[k.id.Step]
--- a/internal/entry/dispatch/move.go
+++ b/internal/entry/dispatch/move.go
@@ -8,8 +8,8 @@
 	"hillreel/internal/entry/retry"
 )
 
-// Progress handles an agent's word on runs on an upstream that has become slow. A task whose job would be served
-// better by beginning anew elsewhere goes there.
+// HandleProgress handles an agent's progress report for runs on an upstream that has become slow. A task is moved if its
+// job benefits from starting it anew elsewhere.
 func (t *Table) HandleProgress(now time.Time, id ident.Incarnation, runs []fleet.Progress) {
 	a := t.agents[id]
 	if a == nil {
@@ -26,13 +26,13 @@
 	}
 }
 
-// movingPays tells whether a task would end early enough elsewhere for its job to be worth more than where it is.
+// shouldMove reports whether a task would finish enough earlier elsewhere that its job's result gains value.
 func (t *Table) shouldMove(now time.Time, k *task, left time.Duration) bool {
-	anew := time.Duration(t.pace * float64(k.job.spec.Steps[k.id.Step].Estimate))
-	return retry.ShouldMove(now.Sub(k.job.submitted), k.job.objective, left, anew) && t.hasRoomElsewhere(k)
+	restarted := time.Duration(t.pace * float64(k.job.spec.Steps[k.id.Step].Estimate))
+	return retry.ShouldMove(now.Sub(k.job.submitted), k.job.objective, left, restarted) && t.hasRoomElsewhere(k)
 }
 
-// hasRoom tells whether a task that runs could be placed at another upstream now.
+// hasRoomElsewhere reports whether a running task could be placed at another upstream now.
 func (t *Table) hasRoomElsewhere(k *task) bool {
 	step := &k.job.spec.Steps[k.id.Step]
 	for _, a := range t.agentList {
@@ -43,7 +43,7 @@
 	return false
 }
 
-// move stops a task's run; once that has ended, the task is placed elsewhere.
+// move stops a task's run. The task is placed elsewhere once the run has ended.
 func (t *Table) move(k *task) {
 	k.moving = true
 	k.avoidUpstream(k.agent.Upstream.ID)
--- a/internal/entry/dispatch/observe.go
+++ b/internal/entry/dispatch/observe.go
@@ -8,57 +8,57 @@
 	"hillreel/internal/core/job"
 )
 
-// RunAt is a run, and the agent that has, or may have, it.
+// RunAt identifies a run and the agent that has it or may have it.
 type RunAt struct {
 	fleet.RunRef
 	Agent ident.UpstreamName
 }
 
-// Stops are runs of one job that nobody wants any more, or not where they are.
+// Stops lists runs of one job that are to be stopped because they are no longer wanted, or not at their present upstream.
 type Stops struct {
 	Job job.ID
-	// Sender is the newest caller's own id of its request.
+	// RequestID is the newest caller's own id of its request.
 	RequestID string
 	Cause     StopCause
-	// Asked are the runs whose agents were asked to stop them, Unheard those at agents that are out of hearing, which give them up
-	// by themselves.
+	// Requested lists the runs whose agents were asked to stop them. Unreachable lists the runs at agents that are not
+	// linked; those agents stop them on their own.
 	Requested, Unreachable []RunAt
 }
 
-// StopCause says why runs are to be stopped: for a job that has ended, the reason of its answer.
+// StopCause is the reason for stopping runs. For a job that has ended it is the reason of its answer.
 type StopCause string
 
-// The causes beside the reasons of answers.
+// The causes that are not reasons of answers.
 const (
-	// Moving: the task will sooner be done elsewhere.
+	// StopMoved: the task will finish sooner elsewhere.
 	StopMoved = StopCause(fleet.Moved)
-	// AskedBefore: the run goes on after a link was reset, in which an earlier wish to stop it may have been lost.
+	// StopRepeated: the run continues after its link was reset, and an earlier request to stop it may have been lost.
 	StopRepeated StopCause = "asked_before"
-	// NotKnown: the run goes on after a link was reset, and was given up here.
+	// StopUnknownRun: the run continues after its link was reset, but this entry has given it up.
 	StopUnknownRun StopCause = "not_known"
 )
 
-// Holding is how a job that is held stands when its caller comes again.
+// HeldJob is the state of a job that this entry holds when its caller submits it again.
 type HeldJob struct {
-	// Former is the caller's own id of the request before.
+	// FormerRequestID is the caller's own id of its previous request.
 	FormerRequestID string
-	// Since is how long ago the job was taken.
+	// Since is the time since the job was taken.
 	Since time.Duration
-	// Callers wait for its answer, Runs are, or may be, at agents.
+	// Callers counts the callers that wait for the answer, Runs the runs that are, or may be, at agents.
 	Callers, Runs int
-	// Ending: the job was answered or given up, and its runs are being stopped.
+	// Ending is set if the job was answered or given up and its runs are being stopped.
 	Ending bool
 }
 
-// holding tells how a job stands.
+// holding returns the state of the job for the observer.
 func (j *jobState) holding(now time.Time) HeldJob {
 	return HeldJob{FormerRequestID: j.requestID, Since: now.Sub(j.submitted), Callers: len(j.callers), Runs: j.outstanding, Ending: j.ending}
 }
 
-// at is the task's newest run with its agent.
+// runAt identifies the task's newest run and its agent.
 func (k *task) runAt() RunAt { return RunAt{k.runRef(), k.agent.Name} }
 
-// unheard lists the runs of a job at agents that are out of hearing.
+// unreachableRuns lists the job's runs at agents that are not linked.
 func (j *jobState) unreachableRuns() []RunAt {
 	var out []RunAt
 	for _, step := range j.steps {
@@ -71,7 +71,8 @@
 	return out
 }
 
-// tellStops tells of the stops of one job that were sent since it was called last, and of runs that no stop can be sent for.
+// reportStops tells the observer which stops of one job were sent since the last call, and which runs are unreachable, so
+// that no stop can be sent for them.
 func (t *Table) reportStops(j *jobState, why StopCause, unheard []RunAt) {
 	s := Stops{Job: j.id, RequestID: j.requestID, Cause: why, Requested: t.unreportedStops, Unreachable: unheard}
 	t.unreportedStops = nil
--- a/internal/entry/dispatch/observe_test.go
+++ b/internal/entry/dispatch/observe_test.go
@@ -12,8 +12,8 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// TestStopsAreTold: whoever watches hears once, for each job, which runs are to be stopped, where they are and why, and which are out of
-// reach.
+// TestStopsAreReported: for each job the observer is told once which runs are to be stopped, where they are and why, and
+// which of them are unreachable.
 func TestStopsAreReported(t *testing.T) {
 	runs := func(indices ...uint32) []dispatch.RunAt {
 		var out []dispatch.RunAt
@@ -31,11 +31,11 @@
 		{"its caller has gone", func(b *harness) { b.table.Abandon(b.now, 7, 1) }, []dispatch.Stops{
 			{Job: 7, Cause: "caller_gone", Requested: runs(0, 1)},
 		}},
-		{"its caller has gone, and an agent is out of hearing", func(b *harness) {
+		{"its caller has gone, and an agent is unreachable", func(b *harness) {
 			b.table.HandleUnlinked(b.now, b.orders[0].agent)
 			b.table.Abandon(b.now, 7, 1)
 		}, []dispatch.Stops{{Job: 7, Cause: "caller_gone", Unreachable: runs(0, 1)}}},
-		{"the wish may have been lost", func(b *harness) {
+		{"the request to stop may have been lost", func(b *harness) {
 			a := b.orders[0].agent
 			b.table.Abandon(b.now, 7, 1)
 			b.table.HandleUnlinked(b.now, a)
@@ -44,7 +44,7 @@
 		}, []dispatch.Stops{
 			{Job: 7, Cause: "caller_gone", Requested: runs(0, 1)}, {Job: 7, Cause: dispatch.StopRepeated, Requested: runs(0)},
 		}},
-		{"a run that is not known here", func(b *harness) {
+		{"a run that this entry does not know", func(b *harness) {
 			stray := fleet.OrderedRun{RunRef: fleet.RunRef{Task: job.TaskID{Job: 7, Index: 1}, Run: 1}, ID: 100}
 			b.table.HandleResumed(b.orders[0].agent, []fleet.OrderedRun{stray})
 		}, []dispatch.Stops{{Job: 7, Cause: dispatch.StopUnknownRun, Requested: runs(1)}}},
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestMoveIsTold: a run that makes way for another is told as one that is stopped.
+// TestMoveIsReported: a run that ends so that its task can run elsewhere is reported as a stopped run.
 func TestMoveIsReported(t *testing.T) {
 	b := newHarness(t, 2)
 	b.submit(7, 1, 1, time.Second, time.Minute)
@@ -72,7 +72,7 @@
 	qt.Assert(t, b.stopReports[0].Requested, qt.HasLen, 1)
 }
 
-// TestCallerThatComesAgainIsTold: with what its job still has at agents.
+// TestResubmissionIsReported: the report states how many runs of the job are still at agents.
 func TestResubmissionIsReported(t *testing.T) {
 	b := newHarness(t, 1)
 	b.submit(7, 1, 2, time.Second, time.Minute)
--- a/internal/entry/dispatch/outage.go
+++ b/internal/entry/dispatch/outage.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// outage is what is known of the pauses in which nothing came from some peers. What was lost on the way meanwhile comes later: a kernel sends it
-// again after pauses that double.
+// outage records the intervals in which no message came from some set of peers. Messages lost during such an interval
+// arrive later, because the kernel retransmits them with exponential backoff.
 type outage struct {
-	// heard is when something came last; zero is never.
+	// lastHeard is the time of the last message; the zero time means none.
 	lastHeard time.Time
-	// from and to are the last pause, or the last few that came close together; zero is none.
+	// from and to delimit the last interval of silence, or the last few that followed each other closely; zero times mean
+	// none.
 	from, to time.Time
 }
 
-// begin says since when something could have come, unless something has.
+// begin sets the time since which messages could have arrived, unless one has arrived already.
 func (o *outage) begin(now time.Time) {
 	if o.lastHeard.IsZero() {
 		o.lastHeard = now
 	}
 }
 
-// hear notes that something came, after a pause or not.
-func (o *outage) recordMessage(now time.Time, paused bool) {
-	if paused {
+// recordMessage records that a message arrived. afterSilence tells whether it followed an interval of silence.
+func (o *outage) recordMessage(now time.Time, afterSilence bool) {
+	if afterSilence {
 		if !o.mayBeDelayed(o.lastHeard) {
-			o.from = o.lastHeard // else what was lost before may have been lost again
+			o.from = o.lastHeard // otherwise what was lost before may have been lost again
 		}
 		o.to = now
 	}
 	o.lastHeard = now
 }
 
-// silent is for how long nothing has come; it is zero while nothing could have.
+// silence returns how long no message has arrived. It is zero if none could have arrived yet.
 func (o *outage) silence(now time.Time) time.Duration {
 	if o.lastHeard.IsZero() {
 		return 0
@@ -37,11 +38,13 @@
 	return now.Sub(o.lastHeard)
 }
 
-// firstResend is after how long a kernel sends again what was lost on the way: at least 200 ms after it was sent, and a little more on slow ways.
+// firstResend is the time after which a kernel first retransmits lost data: at least 200 ms, and a little more on slow
+// paths.
 const firstResend = 250 * time.Millisecond
 
-// mayBeOld tells whether what comes now may have been sent long ago: the last pause of its kernel before it got through began while nothing did,
-// and is as long as all before it and the first one.
+// mayBeDelayed reports whether a message that arrives now may have been sent long ago. Retransmission intervals double: the
+// last one before data gets through begins during the silence, and is as long as all intervals before it and the first one
+// together.
 func (o *outage) mayBeDelayed(now time.Time) bool {
 	return !o.to.IsZero() && now.Sub(o.to) <= o.to.Sub(o.from)+firstResend+disconnectWait
 }
--- a/internal/entry/dispatch/place.go
+++ b/internal/entry/dispatch/place.go
@@ -13,7 +13,7 @@
 	"hillreel/internal/entry/retry"
 )
 
-// queue returns the queue of a service, a new one if there is none.
+// queue returns the queue of a service and creates it if necessary.
 func (t *Table) queue(s ident.Service) *queue.Queue[*jobState] {
 	q := t.queues[s]
 	if q == nil {
@@ -24,30 +24,31 @@
 	return q
 }
 
-// Turn is the job's place in the order in which jobs wait for room.
+// Rank returns the job's sort key among waiting jobs.
 func (j *jobState) Rank() queue.Rank {
 	return queue.Rank{Begun: j.begun, Late: j.late, PlaceBy: j.placeBy, Priority: j.route.Priority, Job: j.id}
 }
 
-// before orders jobs as they wait for room.
+// compareJobs orders jobs by their rank in the queue.
 func compareJobs(a, b *jobState) int { return queue.Compare(a.Rank(), b.Rank()) }
 
-// pump places what fits anywhere.
+// placeAll places as many waiting tasks as fit at any agent.
 func (t *Table) placeAll(now time.Time) {
 	t.unplaced = false
 	t.placeAmong(now, t.agentList)
 }
 
-// fill places what fits at one agent that has told of its room: what has found no room before can find it only there. With the
-// paces in order, news of room take 0.75 us at 70 agents and at 2,100 (BenchmarkRoom); to look at all agents and sort their paces takes
-// 11 us and 890 us.
+// placeAt places as many waiting tasks as fit at one agent that has reported its free capacity. Tasks that found no
+// capacity before can only find it there, so the other agents are not examined. With sorted paces a report then takes 0.75
+// us at both 70 and 2,100 agents. Examining all agents and sorting their paces would take 11 us and 890 us.
 func (t *Table) placeAt(now time.Time, a *agentState) {
 	if a.AcceptsWork() {
 		t.placeAmong(now, []*agentState{a})
 	}
 }
 
-// place places what fits at some of the agents. What suspected tasks wait for is no room that other jobs could leave them.
+// placeAmong places as many waiting tasks as fit at some of the agents. Suspected tasks that still wait do not count as
+// waiting for capacity, because they need an upstream of their own and capacity left by other jobs does not help them.
 func (t *Table) placeAmong(now time.Time, among []*agentState) {
 	if t.contact.listenRemaining > 0 && !t.opts.Without.Has(rule.HearEnds) {
 		return
@@ -57,7 +58,7 @@
 	}
 }
 
-// placeJob places as many tasks of a job as fit, and tells whether some that are not suspected still wait.
+// placeJob places as many tasks of a job as fit. It reports whether tasks that are not suspected still wait.
 func (t *Table) placeJob(now time.Time, j *jobState, among []*agentState) (waits bool) {
 	for s := range j.steps {
 		if len(j.steps[s].waiting) > 0 && t.placeStep(now, j, s, among) {
@@ -67,7 +68,8 @@
 	return waits
 }
 
-// placeStep places as many tasks of a step as fit, in one order for each agent, and tells whether some that are not suspected still wait.
+// placeStep places as many tasks of a step as fit, with one order per agent and an order of its own for each suspected
+// task. It reports whether tasks that are not suspected still wait.
 func (t *Table) placeStep(now time.Time, j *jobState, s int, among []*agentState) (waits bool) {
 	suspects, others := t.splitSuspects(j.steps[s].waiting)
 	t.placeSuspects(now, suspects, among)
@@ -93,13 +95,13 @@
 	return waits
 }
 
-// newOrder returns an order of one step without tasks.
+// newOrder returns an order for one step that has no tasks yet.
 func (t *Table) newOrder(j *jobState, s int) *fleet.Order {
 	step := &j.spec.Steps[s]
 	return &fleet.Order{Job: j.id, Step: uint32(s), Spec: j.spec.Text, Each: step.Each, Estimate: step.Estimate, Kept: j.kept}
 }
 
-// assign notes that a task goes to an agent.
+// assign records that a task goes to an agent and adds it to the order.
 func (t *Table) assign(now time.Time, k *task, a *agentState, o *fleet.Order) {
 	t.dequeue(k)
 	j := k.job
@@ -119,7 +121,7 @@
 	})
 }
 
-// nextRunID returns an id that no run has had.
+// nextRunID returns an id that no other run has had.
 func (t *Table) nextRunID() fleet.RunID {
 	if t.opts.Without.Has(rule.RunIDs) {
 		return 0
@@ -128,32 +130,33 @@
 	return t.lastRunID
 }
 
-// send sends an order.
+// send numbers an order and sends it to its agent.
 func (t *Table) send(now time.Time, a *agentState, o *fleet.Order) {
 	a.AssignSeq(o)
 	t.observer.Placed(o.Job, a.Name, o, now.Sub(t.jobs[o.Job].submitted))
 	t.agentsIO.Order(a.ID, *o)
 }
 
-// choose returns the agent among some for a task, or nil while nothing fits: the cheapest of a few that could take it. Where
-// a task's data lie matters more than races, so that for one that prefers a rack all are rated.
+// choose returns the agent among some for a task, or nil if none fits: the cheapest of a small sample of those that could
+// take it. A task that prefers a rack is rated against all agents, because being close to its data matters more to it than
+// avoiding races between entries.
 func (t *Table) choose(now time.Time, k *task, among []*agentState) *agentState {
 	step := &k.job.spec.Steps[k.id.Step]
-	may := func(a *agentState) bool {
+	mayTake := func(a *agentState) bool {
 		return t.eligible(a, k, step) && !t.tooSlow(now, a, k) && !t.reservedForOthers(now, a, k)
 	}
 	cost := func(a *agentState) float64 { return a.Cost(step, t.opts.Zone, t.pace, t.rng) }
 	if step.Prefers != "" {
-		return placement.Cheapest(among, may, cost)
+		return placement.Cheapest(among, mayTake, cost)
 	}
-	return placement.CheapestOfSample(t.rng, among, may, cost)
+	return placement.CheapestOfSample(t.rng, among, mayTake, cost)
 }
 
-// lastResort is how long before a job gives up waiting an upstream is good enough on which it will be late: the time
+// lastResortMargin is how long before a job's wait ends it accepts a slow upstream at which it will be late: the duration
 // of one tick.
 const lastResortMargin = 20 * time.Millisecond
 
-// tooSlow tells whether a task would make its job late on a slow upstream, while the job can still wait for another.
+// tooSlow reports whether a slow upstream would make a task's job late while the job can still wait for another upstream.
 func (t *Table) tooSlow(now time.Time, a *agentState, k *task) bool {
 	if !a.IsSlow(t.pace) || !now.Before(k.job.waitUntil.Add(-lastResortMargin)) {
 		return false
@@ -163,7 +166,7 @@
 	return retry.Rate(end.Sub(k.job.submitted), k.job.objective) < retry.InTime
 }
 
-// eligible tells whether a task may go to an agent now.
+// eligible reports whether a task may go to an agent now.
 func (t *Table) eligible(a *agentState, k *task, step *job.Step) bool {
 	service := k.job.route.Service
 	if !a.CanTake(service, step) || !t.permits(a, service) {
@@ -176,7 +179,7 @@
 	return step.MaxPerUpstream == 0 || t.countTasksAt(a, k) < int(step.MaxPerUpstream)
 }
 
-// onUpstream counts the tasks of the same step that an agent has.
+// countTasksAt counts the tasks of the same step that an agent has.
 func (t *Table) countTasksAt(a *agentState, k *task) int {
 	n := 0
 	for _, other := range k.job.steps[k.id.Step].tasks {
--- a/internal/entry/dispatch/resent.go
+++ b/internal/entry/dispatch/resent.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// reserve is the part of an upstream's room that jobs which were sent before leave to those that can still be in time: after a loss of
-// entries they would take it all.
+// reservedShare is the part of an upstream's capacity that resent jobs leave to jobs that can still be in time. Without it,
+// the resent jobs would take all capacity after a loss of entries.
 const reservedShare = 0.5
 
-// reserved tells whether an agent's room is kept for jobs that can still be in time, and this task is of another. Where an upstream
-// has nothing else, or the job would be refused otherwise, it takes what there is.
+// reservedForOthers reports whether an agent's free capacity is reserved for jobs that can still be in time, and this
+// task's job was resent. The reservation does not apply if the upstream has no other work, or if the job would otherwise be
+// refused.
 func (t *Table) reservedForOthers(now time.Time, a *agentState, k *task) bool {
 	j := k.job
 	if !j.resent() || j.begun || !now.Before(j.waitUntil.Add(-lastResortMargin)) {
@@ -18,5 +19,5 @@
 	return free < total && float64(left) < reservedShare*float64(total)
 }
 
-// sentBefore tells whether the job's caller has probably sent it before.
+// resent reports whether the job's caller has probably submitted it before.
 func (j *jobState) resent() bool { return j.late && !j.kept }
--- a/internal/entry/dispatch/resent_test.go
+++ b/internal/entry/dispatch/resent_test.go
@@ -13,13 +13,14 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// usualPatience is how long callers of the tests wait.
+// usualPatience is how long callers in these tests usually wait.
 const usualPatience = 3 * time.Second
 
-// short is the estimate of the tests' jobs: their objective is 420 ms.
+// short is the estimate of most jobs in these tests; their objective is 420 ms.
 const short = 200 * time.Millisecond
 
-// newUsual returns a Table with one upstream of two cores, to which so many callers have sent a job that was done.
+// newWithCallers returns a Table with one upstream of two cores that has already completed one job for each of the given
+// number of callers.
 func newWithCallers(t *testing.T, callers int) *harness {
 	b := newHarness(t, 1)
 	for i := 1; i <= callers; i++ {
@@ -33,8 +34,9 @@
 	return b
 }
 
-// TestSentBefore: while an upstream has other work, a job whose caller waits for much less long than others leaves half of its room
-// free, and goes behind jobs that come later. A job that may be new, or has all the time it needs, is treated as any other.
+// TestSentBefore: while an upstream has other work, a job whose caller waits for much less time than others leaves half of
+// the upstream's capacity free and waits behind jobs that are submitted later. A job that may be new, or that can still be
+// in time, is treated like any other.
 func TestSentBefore(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -46,7 +48,7 @@
 		{"as long as usual", 8, short, usualPatience, false},
 		{"a little less", 8, short, 2400 * time.Millisecond, false},
 		{"sent before", 8, short, 700 * time.Millisecond, true},
-		{"too little is known", 6, short, 700 * time.Millisecond, false},
+		{"too few jobs seen", 6, short, 700 * time.Millisecond, false},
 		{"its objective is longer than callers' pause", 8, time.Second, 700 * time.Millisecond, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -66,8 +68,8 @@
 	}
 }
 
-// TestLongJobsAreNotSentBefore: callers of a queue of long jobs wait for times that differ as the jobs do; one that waits for less than
-// others has a shorter job.
+// TestLongJobsAreNotSentBefore: in a queue of long jobs the callers' waiting times differ as much as the jobs do, so a
+// caller that waits for less time than others has a shorter job and has not resubmitted one.
 func TestLongJobsAreNotSentBefore(t *testing.T) {
 	b := newHarness(t, 1)
 	for i := range 8 {
@@ -81,19 +83,20 @@
 	qt.Assert(t, b.orders, qt.HasLen, 9)
 }
 
-// TestSentBeforeIsServed: a job that was sent before takes an upstream that has nothing else at once, takes what there is at the end
-// of its wait, and is refused, true to say that it has not run, if there is nothing within a second.
+// TestSentBeforeIsServed: a resubmitted job is placed at once at an upstream without other work, and takes any free
+// capacity at the end of its wait. If there is none within a second, it is refused with the correct verdict that it has not
+// run.
 func TestSentBeforeIsServed(t *testing.T) {
 	const patience = 1400 * time.Millisecond
 	for _, test := range []struct {
 		name string
 		free int64
-		// after is when it is placed; zero is at once, and a second that it is refused.
+		// after is when the job is placed or, without capacity, refused; zero means at once.
 		after time.Duration
 	}{
-		{"nothing else there", 2000, 0},
-		{"half of the room", 1000, time.Second - 20*time.Millisecond},
-		{"no room", 0, time.Second},
+		{"no other work there", 2000, 0},
+		{"half of the capacity", 1000, time.Second - 20*time.Millisecond},
+		{"no capacity", 0, time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			b := newWithCallers(t, 8)
--- a/internal/entry/dispatch/submit.go
+++ b/internal/entry/dispatch/submit.go
@@ -10,7 +10,7 @@
 	"hillreel/internal/entry/holders"
 )
 
-// Submit takes a job, or answers at once why not.
+// Submit takes a job, or answers at once why it is refused. A request that may be outdated is held back first.
 func (t *Table) Submit(now time.Time, r Request) {
 	r.Deadline = t.deadline(now, r)
 	if !t.holdBelated(now, r) {
@@ -18,7 +18,7 @@
 	}
 }
 
-// take takes a job whose caller is taken for present, or answers at once why not.
+// take takes a job whose caller is assumed to be connected, or answers at once why it is refused.
 func (t *Table) take(now time.Time, r Request) {
 	if j := t.jobs[r.Job]; j != nil {
 		t.resubmit(now, j, r)
@@ -34,11 +34,12 @@
 	t.placeAll(now)
 }
 
-// wakeWindow is how long after a standstill a request may be one that came during it.
+// pauseWindow is how long after a pause of the process a request may be one that arrived during the pause.
 const pauseWindow = 200 * time.Millisecond
 
-// deadline is when a request's caller surely waits no longer. A request that came while the process stood still
-// may have waited all that time; its caller may be about to send it elsewhere.
+// deadline returns the time after which a request's caller has certainly stopped waiting. A request that arrived while the
+// process was paused may have waited for the whole pause, and its caller may be about to submit it elsewhere. The pause is
+// therefore deducted.
 func (t *Table) deadline(now time.Time, r Request) time.Time {
 	if r.Deadline.IsZero() || t.pausedUntil.IsZero() || now.Sub(t.pausedUntil) > pauseWindow {
 		return r.Deadline
@@ -46,7 +47,7 @@
 	return r.Deadline.Add(-now.Sub(t.pausedFrom))
 }
 
-// refusal says why a job can't be taken.
+// refusal returns the answer to a job that can't be taken, and whether that is the case.
 func (t *Table) refusal(now time.Time, r Request) (Answer, bool) {
 	switch {
 	case t.closing:
@@ -65,24 +66,24 @@
 	return Answer{}, false
 }
 
-// refused is the answer to a job of which nothing has run, and nothing will.
+// refused is the answer to a job of which nothing has run and nothing will run.
 func refused(why verdict.Reason) Answer {
 	return Answer{State: verdict.Refused, Verdict: verdict.NotRun, Reason: why, RetryAfter: admission.RefusedRetry}
 }
 
-// submitAgain handles a job whose id is held already. Two requests are taken for the same job when their texts and their
-// numbers of tasks are: steps and queues are not compared, and those of the first request stay in force.
+// resubmit handles a request for a job id that this entry already holds. Two requests are for the same job if their text
+// and their number of tasks are equal. Steps and queues are not compared, and those of the first request remain in force.
 func (t *Table) resubmit(now time.Time, j *jobState, r Request) {
 	t.observer.Resubmitted(&r, j.holding(now))
 	switch {
 	case r.Kept != nil && !j.kept:
-		// The caller has sent the id first as a job that need not be kept. The kept one begins once that has ended.
+		// The caller has submitted the id before as a job that is not kept. The kept job starts once that job has ended.
 		j.resubmitted = append(j.resubmitted, r)
 		t.removeIfDone(now, j)
 	case j.spec.Text != r.Spec.Text || j.spec.TaskCount() != r.Spec.TaskCount():
 		t.callers.Answer(r.Caller, Answer{State: verdict.Refused, Verdict: verdict.MayHaveRun, Reason: verdict.DifferentBody})
 	case j.ending:
-		// Its old runs are being stopped; only then may it run anew.
+		// The old runs are being stopped. The job may start anew only after that.
 		j.resubmitted = append(j.resubmitted, r)
 		t.removeIfDone(now, j)
 	default:
@@ -94,12 +95,12 @@
 	}
 }
 
-// begin makes a job's state and queues its first steps.
+// addJob creates a job's state and queues its first steps.
 func (t *Table) addJob(now time.Time, r Request) {
-	chain := r.Spec.CriticalPath()
+	criticalPath := r.Spec.CriticalPath()
 	j := &jobState{
 		id: r.Job, spec: r.Spec, route: r.Route, kept: r.Kept != nil, requestID: r.RequestID, submitted: now, deadline: r.Deadline,
-		objective: r.Route.Objective(chain), steps: make([]stepState, len(r.Spec.Steps)),
+		objective: r.Route.Objective(criticalPath), steps: make([]stepState, len(r.Spec.Steps)),
 	}
 	if !j.kept {
 		j.callers, j.announceAt = []CallerID{r.Caller}, now.Add(holders.AnnounceAfter)
@@ -107,7 +108,7 @@
 	if !j.kept && !r.Deadline.IsZero() {
 		j.late = t.resends.Observe(r.Route.Name, j.objective, r.Deadline.Sub(now))
 	}
-	t.setWaitLimits(now, j, chain)
+	t.setWaitLimits(now, j, criticalPath)
 	for i, step := range r.Spec.Steps {
 		for k := range step.Count {
 			id := job.TaskID{Job: r.Job, Step: uint32(i), Index: k}
@@ -126,7 +127,7 @@
 	}
 }
 
-// resume takes over what is known of a job's tasks.
+// restore applies the stored state of a kept job to its tasks.
 func (j *jobState) restore(known *KeptState) {
 	j.late = known.Late
 	for i := range j.steps {
@@ -143,7 +144,8 @@
 	}
 }
 
-// endIfOver ends a job of which nothing is left to do, or a task of which has failed too often or crashes upstreams.
+// finishIfDone closes a job if no task remains, or if a task has failed too often or crashes upstreams. It reports whether
+// it did so.
 func (t *Table) finishIfDone(now time.Time, j *jobState) bool {
 	for _, step := range j.steps {
 		for _, k := range step.tasks {
--- a/internal/entry/dispatch/takeover.go
+++ b/internal/entry/dispatch/takeover.go
@@ -12,25 +12,28 @@
 	"hillreel/internal/entry/holders"
 )
 
-// A caller that loses its connection sends its job to another entry after a pause, and its former entry may not hear that it has gone. So entries
-// tell each other, through agents, which jobs they have held for long, and one that is sent such a job begins it only once the other has given
-// it up. Nobody waits for that but callers who have sent their job before.
+// A caller that loses its connection submits its job to another entry after a pause, and the former entry may not notice
+// that the caller has gone. Therefore entries tell each other, through agents, which jobs they have held for a long time.
+// An entry that receives such a job starts it only once the other entry has released it. This delays only callers that have
+// submitted their job before.
 
-// release is a job that another entry holds and is asked to give up.
+// releaseRequest tracks a request to another entry to release a job.
 type releaseRequest struct {
 	holder ident.Incarnation
-	// began is when it was asked first, asked when it was last.
+	// firstAsked and lastAsked are the times of the first and the latest request.
 	firstAsked, lastAsked time.Time
-	// all: every linked agent was asked, since the holder may not be there any more; else a few that pass it on.
+	// askedAll is set if every linked agent was asked, because the holder may be gone. Otherwise only a few agents were
+	// asked to forward the request.
 	askedAll bool
-	// left are the agents that were asked and have not said that nothing of the job is left there.
+	// pending has an entry for each agent that was asked. It is true until the agent has reported that nothing of the job
+	// remains there.
 	pending map[ident.Incarnation]bool
 }
 
-// owed is the answer that an entry waits for which takes a job over.
+// releaseReply is the reply owed to an entry that takes a job over.
 type releaseReply struct {
-	agent ident.Incarnation
-	to    fleet.Takeover
+	agent    ident.Incarnation
+	takeover fleet.Takeover
 }
 
 // TakeoverEvent is a step of a takeover.
@@ -38,26 +41,27 @@
 
 // The steps of a takeover.
 const (
-	// TakeoverAsked: another entry holds the job, and was asked for it.
+	// TakeoverAsked: another entry holds the job and was asked to release it.
 	TakeoverAsked TakeoverEvent = "asked"
-	// TakeoverConfirmed: the holder has given it up.
+	// TakeoverConfirmed: the holder has released it.
 	TakeoverConfirmed TakeoverEvent = "confirmed"
-	// TakeoverSettled: the holder is not linked to any agent, and nothing of it is left at them.
+	// TakeoverSettled: the holder is not linked to any agent, and nothing of the job remains at the agents.
 	TakeoverSettled TakeoverEvent = "settled"
-	// TakeoverLapsed: nobody has answered for so long that nothing can be left.
+	// TakeoverLapsed: there was no reply for so long that nothing of the job can remain.
 	TakeoverLapsed TakeoverEvent = "lapsed"
-	// TakeoverGiven: this entry has given the job up.
+	// TakeoverGiven: this entry has released the job.
 	TakeoverGiven TakeoverEvent = "given_up"
 )
 
-// superseded is for callers whose job another entry has taken over.
+// superseded is the answer to callers whose job another entry has taken over.
 var superseded = Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Superseded}
 
-// relays is how many agents pass a message on: one may be lost with it, and one may be out of the other entry's hearing.
+// relayCount is the number of agents that are asked to forward a message: one may be lost together with the message, and
+// one may have no link to the other entry.
 const relayCount = 3
 
-// relayAgents returns some agents that pass messages on to other entries. Where agents link to a part of the entries only, no few of them
-// reach every one.
+// relayAgents returns agents that forward messages to other entries. It returns all linked agents where each agent links to
+// only some of the entries, since a few agents would not reach every entry.
 func (t *Table) relayAgents() []ident.Incarnation {
 	var linked []ident.Incarnation
 	for _, a := range t.agentList {
@@ -73,7 +77,7 @@
 	return linked
 }
 
-// tellHeld tells other entries which jobs this one has held for long.
+// announceHeld tells other entries which jobs this entry has held for a long time.
 func (t *Table) announceHeld(now time.Time) {
 	var held []job.ID
 	for _, j := range t.jobs {
@@ -96,12 +100,12 @@
 	}
 }
 
-// Holding handles that another entry has held jobs for long.
+// HandleHeld handles another entry's announcement that it has held jobs for a long time.
 func (t *Table) HandleHeld(now time.Time, holder ident.Incarnation, jobs []job.ID) {
 	t.holders.Record(now, holder, jobs...)
 }
 
-// heldElsewhere tells whether another entry is known to hold a job.
+// heldElsewhere reports whether another entry is known to hold a job.
 func (t *Table) heldElsewhere(now time.Time, id job.ID) bool {
 	if t.opts.Without.Has(rule.ReleaseFirst) {
 		return false
@@ -110,7 +114,7 @@
 	return known || t.releases[id] != nil
 }
 
-// awaitRelease tells whether a job must wait until another entry has given it up, and asks for that.
+// awaitRelease reports whether a job must wait until another entry has released it, and sends the requests for that.
 func (t *Table) awaitRelease(now time.Time, id job.ID) bool {
 	if j := t.jobs[id]; j != nil && !j.ending || !t.heldElsewhere(now, id) {
 		return false
@@ -126,14 +130,14 @@
 	switch {
 	case now.Sub(r.firstAsked) >= t.opts.Timing.SettleAfter():
 		t.endRelease(now, id, r, TakeoverLapsed)
-		return t.awaitRelease(now, id) // another may hold it too
+		return t.awaitRelease(now, id) // another entry may hold it too
 	case now.Sub(r.lastAsked) >= t.opts.Timing.KeepAlive:
 		t.askAll(now, id, r)
 	}
 	return true
 }
 
-// ask asks some agents for a job that another entry holds.
+// ask asks some agents for the release of a job that another entry holds.
 func (t *Table) ask(now time.Time, id job.ID, r *releaseRequest, agents []ident.Incarnation) {
 	r.lastAsked = now
 	for _, a := range agents {
@@ -142,11 +146,11 @@
 	}
 }
 
-// askAll asks all linked agents but those that have answered.
+// askAll asks all linked agents except those that have replied.
 func (t *Table) askAll(now time.Time, id job.ID, r *releaseRequest) {
 	var rest []ident.Incarnation
 	for _, a := range t.agentList {
-		if left, asked := r.pending[a.ID]; a.Linked && (left || !asked) {
+		if pending, asked := r.pending[a.ID]; a.Linked && (pending || !asked) {
 			rest = append(rest, a.ID)
 		}
 	}
@@ -154,7 +158,8 @@
 	t.ask(now, id, r, rest)
 }
 
-// Released handles that nothing of a job remains at another entry, or at an agent that the entry isn't linked to.
+// HandleReleased handles a report that nothing of a job remains at the entry that held it or, if that entry is not linked
+// to the reporting agent, at the agent.
 func (t *Table) HandleReleased(now time.Time, agent ident.Incarnation, x fleet.Released) {
 	r := t.releases[x.Job]
 	if r == nil || r.holder != x.Holder {
@@ -169,8 +174,8 @@
 	if !r.askedAll {
 		t.askAll(now, x.Job, r)
 	}
-	for _, left := range r.pending {
-		if left {
+	for _, pending := range r.pending {
+		if pending {
 			return
 		}
 	}
@@ -178,14 +183,14 @@
 	t.submitBelated(now)
 }
 
-// released ends the wait for a job's release.
+// endRelease ends the wait for a job's release.
 func (t *Table) endRelease(now time.Time, id job.ID, r *releaseRequest, how TakeoverEvent) {
 	delete(t.releases, id)
 	t.holders.Forget(id, r.holder)
 	t.observer.TakeoverChanged(id, r.holder, now.Sub(r.firstAsked), how)
 }
 
-// forgetReleases forgets the questions for jobs that nobody waits for any more.
+// dropUnusedReleases removes the release requests for jobs that no request waits for any more.
 func (t *Table) dropUnusedReleases() {
 	for id := range t.releases {
 		if !t.isBelated(id) {
@@ -194,43 +199,44 @@
 	}
 }
 
-// GiveUp handles that another entry takes a job over, as an agent has passed on: its caller has gone there.
-func (t *Table) HandleTakeover(now time.Time, agent ident.Incarnation, to fleet.Takeover) {
-	t.holders.Record(now, to.NewHolder, to.Job)
-	t.answerBelated(to.Job, superseded)
-	delete(t.releases, to.Job)
-	j := t.jobs[to.Job]
+// HandleTakeover handles a message, forwarded by an agent, that another entry takes a job over because its caller has gone
+// there.
+func (t *Table) HandleTakeover(now time.Time, agent ident.Incarnation, takeover fleet.Takeover) {
+	t.holders.Record(now, takeover.NewHolder, takeover.Job)
+	t.answerBelated(takeover.Job, superseded)
+	delete(t.releases, takeover.Job)
+	j := t.jobs[takeover.Job]
 	if j == nil || j.kept {
-		t.agentsIO.SendReleased(agent, fleet.Released{Takeover: to, ByHolder: true})
+		t.agentsIO.SendReleased(agent, fleet.Released{Takeover: takeover, ByHolder: true})
 		return
 	}
-	t.addReply(j.id, releaseReply{agent, to})
+	t.addReply(j.id, releaseReply{agent, takeover})
 	t.answerResubmitted(j, superseded)
 	if !j.ending {
-		t.observer.TakeoverChanged(j.id, to.NewHolder, now.Sub(j.submitted), TakeoverGiven)
+		t.observer.TakeoverChanged(j.id, takeover.NewHolder, now.Sub(j.submitted), TakeoverGiven)
 		t.close(now, j, superseded)
 		t.placeAll(now)
 	}
 }
 
-// owe notes an answer that is given once nothing of a job remains.
+// addReply records a reply that is sent once nothing of a job remains.
 func (t *Table) addReply(id job.ID, o releaseReply) {
 	if !slices.Contains(t.replies[id], o) {
 		t.replies[id] = append(t.replies[id], o)
 	}
 }
 
-// payOwed answers the entries that wait for a job of which nothing remains.
+// sendReplies replies to the entries that wait for a job of which nothing remains.
 func (t *Table) sendReplies(id job.ID) {
 	waiting := t.replies[id]
 	delete(t.replies, id)
 	for _, o := range waiting {
-		t.agentsIO.SendReleased(o.agent, fleet.Released{Takeover: o.to, ByHolder: true})
+		t.agentsIO.SendReleased(o.agent, fleet.Released{Takeover: o.takeover, ByHolder: true})
 	}
 }
 
-// linkedAnew asks an agent that has linked for the jobs that other entries are asked to give up. What was told before may have been lost with the
-// agents that it was told to, and is told again.
+// repeatTakeovers asks a newly linked agent for the jobs that all agents were asked to release. It also schedules earlier
+// announcements for repetition, since they may have been lost with the agents that should have forwarded them.
 func (t *Table) repeatTakeovers(now time.Time, agent ident.Incarnation) {
 	for _, j := range t.jobs {
 		if now.Sub(j.submitted) >= holders.AnnounceAfter {
--- a/internal/entry/dispatch/takeover_test.go
+++ b/internal/entry/dispatch/takeover_test.go
@@ -13,10 +13,10 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// otherEntry and thirdEntry are other entries, which the benches' tables know by what agents pass on.
+// otherEntry and thirdEntry are other entries, known to the Table only from messages that agents forward.
 const otherEntry, thirdEntry ident.Incarnation = 91, 92
 
-// takeovers are the messages of a Table about jobs that other entries hold, or take over.
+// takeovers records a Table's messages about jobs that other entries hold or take over.
 type takeovers struct {
 	held     [][]job.ID
 	asked    []ident.Incarnation
@@ -35,8 +35,8 @@
 	x.steps = append(x.steps, e)
 }
 
-// TestHeldElsewhere guards against tasks that two entries run at once: a job that another entry has told of begins only once that one has given it
-// up, or nothing can be left of it.
+// TestHeldElsewhere guards against tasks that two entries run at once. A job that another entry has announced begins only
+// once that entry has released it, or once nothing of it can remain.
 func TestHeldElsewhere(t *testing.T) {
 	byHolder := fleet.Released{Takeover: fleet.Takeover{Job: 7, Holder: otherEntry}, ByHolder: true}
 	byAgent := fleet.Released{Takeover: fleet.Takeover{Job: 7, Holder: otherEntry}}
@@ -46,20 +46,20 @@
 		placed  bool
 		last    dispatch.TakeoverEvent
 	}{
-		{"nobody answers yet", func(b *harness) { b.hearing(900*time.Millisecond, 1, 2) }, false, dispatch.TakeoverAsked},
-		{"nobody answers for so long that nothing can be left", func(b *harness) { b.hearing(1200*time.Millisecond, 1, 2) }, true, dispatch.TakeoverLapsed},
-		{"its holder has given it up", func(b *harness) { b.table.HandleReleased(b.now, 1, byHolder) }, true, dispatch.TakeoverConfirmed},
-		{"one of two holders has given it up", func(b *harness) {
+		{"no reply yet", func(b *harness) { b.hearing(900*time.Millisecond, 1, 2) }, false, dispatch.TakeoverAsked},
+		{"no reply for so long that nothing can remain", func(b *harness) { b.hearing(1200*time.Millisecond, 1, 2) }, true, dispatch.TakeoverLapsed},
+		{"its holder has released it", func(b *harness) { b.table.HandleReleased(b.now, 1, byHolder) }, true, dispatch.TakeoverConfirmed},
+		{"one of two holders has released it", func(b *harness) {
 			b.table.HandleHeld(b.now, thirdEntry, []job.ID{7})
 			b.table.HandleReleased(b.now, 1, byHolder)
 		}, false, dispatch.TakeoverAsked},
-		{"both holders have", func(b *harness) {
+		{"both holders have released it", func(b *harness) {
 			b.table.HandleHeld(b.now, thirdEntry, []job.ID{7})
 			b.table.HandleReleased(b.now, 1, byHolder)
 			b.table.HandleReleased(b.now, 1, fleet.Released{Takeover: fleet.Takeover{Job: 7, Holder: thirdEntry}, ByHolder: true})
 		}, true, dispatch.TakeoverConfirmed},
 		{"its holder is not linked to one agent", func(b *harness) { b.table.HandleReleased(b.now, 1, byAgent) }, false, dispatch.TakeoverAsked},
-		{"its holder is not linked to any", func(b *harness) {
+		{"its holder is not linked to any agent", func(b *harness) {
 			b.table.HandleReleased(b.now, 1, byAgent)
 			b.table.HandleReleased(b.now, 2, byAgent)
 		}, true, dispatch.TakeoverSettled},
@@ -69,7 +69,7 @@
 			b.room(3, fleet.Ready, 2000, 0)
 			b.table.HandleReleased(b.now, 2, byAgent)
 		}, false, dispatch.TakeoverAsked},
-		{"an earlier holder has given it up", func(b *harness) {
+		{"an earlier holder has released it", func(b *harness) {
 			b.table.HandleReleased(b.now, 1, fleet.Released{Takeover: fleet.Takeover{Job: 7, Holder: thirdEntry}, ByHolder: true})
 		}, false, dispatch.TakeoverAsked},
 	} {
@@ -88,7 +88,8 @@
 	}
 }
 
-// TestCallerOfHeldJobGoes: a request of a job that another entry holds is forgotten with its caller, and the other entry keeps the job.
+// TestCallerOfHeldJobGoes: a request for a job that another entry holds is dropped when its caller disconnects, and the
+// other entry keeps the job.
 func TestCallerOfHeldJobGoes(t *testing.T) {
 	b := newHarness(t, 2)
 	b.hearing(100*time.Millisecond, 1, 2)
@@ -100,7 +101,8 @@
 	qt.Assert(t, b.orders, qt.HasLen, 0)
 }
 
-// TestHeldElsewhereTooLong: a caller that waits for less long than the release takes is told that its job may have run.
+// TestHeldElsewhereTooLong: a caller whose deadline passes before the other entry has released the job is told that the job
+// may have run.
 func TestHeldElsewhereTooLong(t *testing.T) {
 	b := newHarness(t, 2)
 	b.hearing(100*time.Millisecond, 1, 2)
@@ -111,7 +113,8 @@
 	qt.Assert(t, b.orders, qt.HasLen, 0)
 }
 
-// TestGiveUp: a job that another entry takes over is stopped, its caller is told, and the other entry hears once nothing of it remains.
+// TestGiveUp: a job that another entry takes over is stopped, its caller is answered, and the other entry is told once
+// nothing of the job remains.
 func TestGiveUp(t *testing.T) {
 	b := newHarness(t, 2)
 	b.hearing(100*time.Millisecond, 1, 2)
@@ -124,16 +127,17 @@
 	b.end(b.orders[0], 0, job.Stopped, fleet.OnRequest)
 	qt.Assert(t, b.released, qt.DeepEquals, []fleet.Released{{Takeover: to, ByHolder: true}})
 	b.table.HandleTakeover(b.now, 1, to)
-	qt.Assert(t, b.released, qt.HasLen, 2, qt.Commentf("what is not held is answered at once"))
+	qt.Assert(t, b.released, qt.HasLen, 2, qt.Commentf("a job that is not held is released at once"))
 
 	b.submit(7, 2, 1, 2*time.Second, 5*time.Second)
 	b.hearing(60*time.Millisecond, 1, 2)
-	qt.Assert(t, b.orders, qt.HasLen, 1, qt.Commentf("a request that comes late does not begin beside the other entry's runs"))
+	qt.Assert(t, b.orders, qt.HasLen, 1, qt.Commentf("a late request does not begin while the other entry has runs"))
 	qt.Assert(t, b.asked, qt.DeepEquals, []ident.Incarnation{1, 2})
 }
 
-// TestLongHeldJobsAreTold: other entries are told of a job once its caller may come to them soon, now and then for as long as it is held, and of
-// one that was taken over at once; of jobs that are held for less long nobody is told.
+// TestLongHeldJobsAreAnnounced: a job is announced to other entries shortly before its caller might turn to them, and
+// periodically for as long as it is held. A job that was taken over is announced at once. A job that is held for a shorter
+// time is not announced.
 func TestLongHeldJobsAreAnnounced(t *testing.T) {
 	b := newHarness(t, 1)
 	b.hearing(100*time.Millisecond, 1)
--- a/internal/entry/dispatch/unconfirmed.go
+++ b/internal/entry/dispatch/unconfirmed.go
@@ -7,12 +7,12 @@
 	"hillreel/internal/core/ident"
 )
 
-// doubt notes that a run was lost with its agent.
+// addUnconfirmed records that a run was lost together with its agent. Whether its upstream has crashed is not known yet.
 func (t *Table) addUnconfirmed(now time.Time, a *agentState, k *task) {
 	if a.Upstream.ID == "" {
 		return
 	}
-	// How old the run was when the upstream was lost nobody can tell; it may have been at its start.
+	// The age of the run at the time of the loss is unknown; it may have just started.
 	t.unconfirmed.Add(now, fleet.Crash{Task: k.id, VM: a.Name, Life: ident.UpstreamLife{ID: a.Upstream.ID}})
 	for _, other := range t.agentList {
 		if other.Known() && other.Name == a.Name {
@@ -21,10 +21,11 @@
 	}
 }
 
-// decideDoubts takes the upstreams that were on an agent's VM for lost if another one stands there now.
+// resolveUnconfirmed records the losses that an agent's report confirms: upstreams that ran on the agent's VM count as lost
+// if a different upstream runs there now.
 func (t *Table) resolveUnconfirmed(now time.Time, a *agentState) {
 	lost := t.unconfirmed.Resolve(now, a.Name, a.Upstream.ID, a.Known() && a.Room().State.RunsKnown())
-	if news := t.HandleCrashes(now, lost); len(news) > 0 {
-		t.agentsIO.SendCrashes(news)
+	if newCrashes := t.HandleCrashes(now, lost); len(newCrashes) > 0 {
+		t.agentsIO.SendCrashes(newCrashes)
 	}
 }
--- a/internal/entry/dispatch/wait.go
+++ b/internal/entry/dispatch/wait.go
@@ -7,7 +7,8 @@
 	"hillreel/internal/entry/admission"
 )
 
-// notePressure takes in a job's answer. Those that say nothing of room are left out, and kept jobs, which wait longer.
+// recordPressure records a job's answer in the demand estimate. It ignores answers that say nothing about capacity, and
+// kept jobs, which wait longer.
 func (t *Table) recordPressure(now time.Time, j *jobState, a Answer) {
 	overloaded := a.Reason == verdict.Overloaded
 	if j.kept || a.State != verdict.Complete && !overloaded {
@@ -16,14 +17,16 @@
 	t.pressure.Record(now, overloaded)
 }
 
-// takeTurn notes until when a new job waits, and when it goes; chain is the estimated time of its longest chain of steps.
-func (t *Table) setWaitLimits(now time.Time, j *jobState, chain time.Duration) {
+// setWaitLimits sets how long a new job waits and its place among waiting jobs. criticalPath is the estimated time of the job's
+// longest chain of steps.
+func (t *Table) setWaitLimits(now time.Time, j *jobState, criticalPath time.Duration) {
 	s := admission.State{Pace: t.pace, Ready: t.anyReady(j.route.Service, nil)}
 	if s.Ready {
 		s.Pressure = t.pressure.Level(now)
 	}
 	w := admission.Decide(admission.Job{
-		Objective: j.objective, CriticalPath: chain, CallerWait: j.deadline.Sub(now), Tasks: j.spec.TaskCount(), Kept: j.kept, Resent: j.resent(),
+		Objective: j.objective, CriticalPath: criticalPath, CallerWait: j.deadline.Sub(now), Tasks: j.spec.TaskCount(),
+		Kept: j.kept, Resent: j.resent(),
 	}, s)
 	j.waitUntil, j.placeBy = now.Add(w.MaxWait), now.Add(w.PlaceWithin)
 }
--- a/internal/entry/dispatch/wait_test.go
+++ b/internal/entry/dispatch/wait_test.go
@@ -14,7 +14,7 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// waits returns how long a job of 200 ms, whose objective is 420 ms, waits for room until it is refused.
+// measureWait returns how long a job of 200 ms, whose objective is 420 ms, waits for capacity until it is refused.
 func (b *harness) measureWait(id job.ID) time.Duration {
 	c, from := dispatch.CallerID(id), b.now
 	b.submit(id, c, 1, 200*time.Millisecond, time.Minute)
@@ -26,7 +26,7 @@
 	return b.now.Sub(from)
 }
 
-// serve lets jobs be served, each within a millisecond.
+// serve submits and completes jobs, each within a millisecond.
 func (b *harness) serve(first job.ID, n int) {
 	b.room(1, fleet.Ready, 2000, uint64(len(b.orders)))
 	for i := range n {
@@ -38,8 +38,9 @@
 	b.room(1, fleet.Ready, 0, uint64(len(b.orders)))
 }
 
-// TestPatienceUnderPressure: jobs wait for a quarter of their objective while nobody is refused, for less in proportion to the
-// part that was lately refused, and for 25 ms where that is a tenth; and for a quarter again after a while without refusals.
+// TestPatienceUnderPressure: jobs wait for one fourth of their objective while none are refused. The wait decreases in
+// proportion to the fraction of recently refused jobs, down to 25 ms at one tenth. It is back at one fourth after some time
+// without refusals.
 func TestPatienceUnderPressure(t *testing.T) {
 	const quarter, pressed = 105 * time.Millisecond, 25 * time.Millisecond
 	b := newHarness(t, 1)
@@ -50,7 +51,7 @@
 	}
 	b.serve(1, 100)
 	between(quarter, quarter+2*time.Millisecond)
-	between(pressed+10*time.Millisecond, quarter-5*time.Millisecond) // one of 100 refused
+	between(pressed+10*time.Millisecond, quarter-5*time.Millisecond) // one of 100 jobs was refused
 	for b.now.Before(time.Unix(1002, 0)) {
 		b.measureWait(job.ID(b.now.UnixNano()))
 	}
@@ -60,7 +61,8 @@
 	between(quarter-5*time.Millisecond, quarter+2*time.Millisecond)
 }
 
-// TestPatienceOfKeptJobs: a kept job is not refused for want of room, and goes behind others no sooner under pressure.
+// TestPatienceOfKeptJobs: a kept job is not refused for lack of capacity, and pressure does not move it behind other jobs
+// sooner.
 func TestPatienceOfKeptJobs(t *testing.T) {
 	b := newHarness(t, 1)
 	b.table.SetKeeper(noKeeper{})
@@ -75,17 +77,17 @@
 	b.pass(60 * time.Millisecond)
 	b.submit(3, 3, 1, 200*time.Millisecond, time.Minute)
 	b.room(1, fleet.Ready, 1000, 0)
-	// The kept job is still among those that can be in time, and has waited longer.
+	// The kept job has waited longer and still counts as one that can be in time, so it is placed first.
 	qt.Assert(t, b.orders, qt.HasLen, 1)
 	qt.Assert(t, b.orders[0].Job, qt.Equals, job.ID(2))
 }
 
-// TestWideJobsGoEarlier: of jobs that have come at about the same time, the wide one goes first, since it is as late as its last
-// task; but no further ahead than a quarter of its objective.
+// TestWideJobsGoEarlier: of jobs submitted at about the same time, the one with more tasks is placed first, because it is
+// as late as its last task. The lead is limited to one fourth of its objective.
 func TestWideJobsGoEarlier(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// after is how much later the wide job comes.
+		// after is how much later the wide job is submitted.
 		after time.Duration
 		want  job.ID
 	}{
@@ -104,7 +106,7 @@
 	}
 }
 
-// TestRefusalTellsTheRoom: who reads the log of a refused job can tell overload from room that could not be used.
+// TestRefusalTellsTheRoom: the summary of a refused job distinguishes overload from capacity that could not be used.
 func TestRefusalTellsTheRoom(t *testing.T) {
 	b := newHarness(t, 3)
 	b.room(1, fleet.Ready, 900, 0)
@@ -116,7 +118,7 @@
 	qt.Assert(t, b.summaries[1].Room, qt.Equals, dispatch.RoomLeft{TaskCPU: 1000, Tasks: 2, Ready: 2, Fits: 0})
 }
 
-// Answered notes what an answer rests on.
+// Answered records the summary of an answer.
 func (b *harness) Answered(id job.ID, _ *route.Route, _ dispatch.Answer, s dispatch.Summary) {
 	if b.summaries == nil {
 		b.summaries = make(map[job.ID]dispatch.Summary)
@@ -124,7 +126,7 @@
 	b.summaries[id] = s
 }
 
-// noKeeper keeps nothing.
+// noKeeper is a Keeper that does nothing.
 type noKeeper struct{}
 
 func (noKeeper) RunEnded(time.Time, ident.Incarnation, fleet.End) {}
