--- a/internal/entry/admission/admission.go
+++ b/internal/entry/admission/admission.go
@@ -15,8 +15,8 @@
 	CallerWait time.Duration
 	// Tasks is the job's number of tasks.
 	Tasks int
-	// Kept is set for a job that outlives its callers and is not refused for lack of capacity. Resent is set if the job's
-	// caller was refused before and told when to try again.
+	// Kept is set for a job that outlives its callers and is not refused for lack of capacity. Resent is set if the caller
+	// has probably submitted the job before.
 	Kept, Resent bool
 }
 
