--- a/internal/kept/owner/adopt.go
+++ b/internal/kept/owner/adopt.go
@@ -14,115 +14,118 @@
 	"hillreel/internal/kept/record"
 )
 
-// Scanned handles the open jobs, and the leases as they were read after them.
-func (b *Owner) HandleScan(now time.Time, open []rows.Row, leases rows.Page, err error) {
-	if err != nil || !b.lease.Held(now) {
-		b.claims.HandleScanFailed(now)
+// HandleScan handles the open jobs, and the leases that were read after them.
+func (o *Owner) HandleScan(now time.Time, open []rows.Row, leases rows.Page, err error) {
+	if err != nil || !o.lease.Held(now) {
+		o.claims.HandleScanFailed(now)
 		return
 	}
 	unowned := make(map[job.ID]*keptJob)
 	var jobs []claims.Job
 	for _, row := range open {
-		if k := b.readUnowned(row); k != nil {
+		if k := o.readUnowned(row); k != nil {
 			unowned[k.id] = k
 			jobs = append(jobs, claims.Job{ID: k.id, Owner: k.open.Owner})
 		}
 	}
-	ids := b.claims.HandleScan(jobs, leases.Rows)
+	ids := o.claims.HandleScan(jobs, leases.Rows)
 	for _, id := range ids {
-		b.jobs[id] = unowned[id]
+		o.jobs[id] = unowned[id]
 	}
 	if len(ids) > 0 {
-		b.store.Fetch(ids)
+		o.store.Fetch(ids)
 	}
-	b.claims.RemoveFinished()
+	o.claims.RemoveFinished()
 }
 
-// unowned reads the row of an open job; nil is a job that this entry holds, or a row that can't be read.
-func (b *Owner) readUnowned(row rows.Row) *keptJob {
+// readUnowned decodes the row of an open job. It returns nil if this entry owns or holds the job, or if the row can't be
+// decoded.
+func (o *Owner) readUnowned(row rows.Row) *keptJob {
 	id, err := record.ParseJobID(row.Key)
-	b.logUnreadable(err)
-	o, err2 := record.Decode[record.OpenJob](row)
-	b.logUnreadable(err2)
-	if err != nil || err2 != nil || o.Owner == b.lease.ID() || b.jobs[id] != nil {
+	o.logUnreadable(err)
+	open, err2 := record.Decode[record.OpenJob](row)
+	o.logUnreadable(err2)
+	if err != nil || err2 != nil || open.Owner == o.lease.ID() || o.jobs[id] != nil {
 		return nil
 	}
-	return &keptJob{id: id, phase: takingOver, open: o, version: row.Version}
+	return &keptJob{id: id, phase: takingOver, open: open, version: row.Version}
 }
 
-// Fetched handles what jobs that are being taken over were submitted with.
-func (b *Owner) HandleFetch(now time.Time, ids []job.ID, found []rows.Row, err error) {
+// HandleFetch handles the submitted records of jobs that are being taken over.
+func (o *Owner) HandleFetch(now time.Time, ids []job.ID, found []rows.Row, err error) {
 	if err != nil {
-		if b.lease.Held(now) {
-			b.store.Fetch(ids)
+		if o.lease.Held(now) {
+			o.store.Fetch(ids)
 		}
 		return
 	}
 	var batch []*keptJob
 	for i, id := range ids {
-		k := b.jobs[id]
+		k := o.jobs[id]
 		if k == nil || k.phase != takingOver {
 			continue
 		}
 		k.record, err = record.Decode[record.Job](found[i])
 		if err != nil {
-			b.logUnreadable(err)
-			b.remove(k)
+			o.logUnreadable(err)
+			o.remove(k)
 			continue
 		}
 		batch = append(batch, k)
 	}
-	b.takeOver(now, batch)
+	o.takeOver(now, batch)
 }
 
-// takeOver makes this entry the owner of some jobs, and then asks agents about those that it got.
-func (b *Owner) takeOver(now time.Time, batch []*keptJob) {
-	left := len(batch)
-	var got []*keptJob
+// takeOver writes this entry as the owner of the jobs in batch. It then asks agents for the ends of those jobs whose
+// ownership it got.
+func (o *Owner) takeOver(now time.Time, batch []*keptJob) {
+	pending := len(batch)
+	var owned []*keptJob
 	for _, k := range batch {
 		next := k.open
-		next.Owner, next.Generation, next.Sequence = b.lease.ID(), k.open.Generation+1, k.open.Sequence+1
-		b.startWrite(b.progressOp(k, next), func(now time.Time, r jobstore.Result) {
-			left--
-			if b.handleTakeOverWritten(k, next, r) {
-				got = append(got, k)
+		next.Owner, next.Generation, next.Sequence = o.lease.ID(), k.open.Generation+1, k.open.Sequence+1
+		o.startWrite(o.progressOp(k, next), func(now time.Time, r jobstore.Result) {
+			pending--
+			if o.handleTakeOverWritten(k, next, r) {
+				owned = append(owned, k)
 			}
-			if left == 0 {
-				b.askForEnds(now, got)
-				b.claims.RemoveFinished()
+			if pending == 0 {
+				o.askForEnds(now, owned)
+				o.claims.RemoveFinished()
 			}
 		})
 	}
 }
 
-// handleTaken handles the end of the write that takes a job over, and tells whether this entry owns it now.
-func (b *Owner) handleTakeOverWritten(k *keptJob, next record.OpenJob, r jobstore.Result) bool {
-	if b.jobs[k.id] != k {
+// handleTakeOverWritten handles the result of the write that takes a job over. It reports whether this entry owns the job
+// now.
+func (o *Owner) handleTakeOverWritten(k *keptJob, next record.OpenJob, r jobstore.Result) bool {
+	if o.jobs[k.id] != k {
 		return false
 	}
 	version := r.Version
 	if r.Outcome != jobstore.Done {
-		there := r.Stored(b.opts.Log)
-		if !there.IsOpenAs(next) {
-			b.remove(k)
+		stored := r.Stored(o.opts.Log)
+		if !stored.IsOpenAs(next) {
+			o.remove(k)
 			return false
 		}
-		version = there.Version
+		version = stored.Version
 	}
 	k.open, k.version = next, version
-	b.claims.RemoveJob(k.id)
-	b.logEvent(logrus.InfoLevel, "job_taken_over", logrus.Fields{"job": k.id, "generation": next.Generation, "ends": len(next.Ends)})
+	o.claims.RemoveJob(k.id)
+	o.logEvent(logrus.InfoLevel, "job_taken_over", logrus.Fields{"job": k.id, "generation": next.Generation, "ends": len(next.Ends)})
 	return true
 }
 
-// forget forgets a job: it has ended, or it is another entry's.
-func (b *Owner) remove(k *keptJob) {
-	delete(b.jobs, k.id)
-	b.claims.RemoveJob(k.id)
+// remove removes a job that has ended, or that another entry owns.
+func (o *Owner) remove(k *keptJob) {
+	delete(o.jobs, k.id)
+	o.claims.RemoveJob(k.id)
 }
 
-// ask asks all agents for ends of jobs that were taken over, and then goes on with them.
-func (b *Owner) askForEnds(now time.Time, jobs []*keptJob) {
+// askForEnds asks all agents for ends of jobs that were taken over, and resumes the jobs when the agents have answered.
+func (o *Owner) askForEnds(now time.Time, jobs []*keptJob) {
 	if len(jobs) == 0 {
 		return
 	}
@@ -130,31 +133,31 @@
 	for i, k := range jobs {
 		ids[i] = k.id
 	}
-	b.inquiry.Ask(now, ids, func(now time.Time) {
+	o.inquiry.Ask(now, ids, func(now time.Time) {
 		for _, k := range jobs {
-			b.resume(now, k)
+			o.resume(now, k)
 		}
 	})
 }
 
-// Asked handles an agent's word that it has told all ends that a question is about.
-func (b *Owner) HandleEndsReported(now time.Time, agent ident.Incarnation, number uint64) {
-	b.inquiry.HandleAnswer(now, agent, number)
+// HandleEndsReported handles an agent's message that it has reported all ends that query number asked for.
+func (o *Owner) HandleEndsReported(now time.Time, agent ident.Incarnation, number uint64) {
+	o.inquiry.HandleAnswer(now, agent, number)
 }
 
-// AgentLost handles an agent that is out of hearing.
-func (b *Owner) HandleAgentLost(now time.Time, agent ident.Incarnation) {
-	b.inquiry.HandleAgentLost(now, agent)
+// HandleAgentLost handles an agent that can't be reached any more.
+func (o *Owner) HandleAgentLost(now time.Time, agent ident.Incarnation) {
+	o.inquiry.HandleAgentLost(now, agent)
 }
 
-// resume goes on with a job that was taken over, unless it was let go meanwhile.
-func (b *Owner) resume(now time.Time, k *keptJob) {
+// resume continues a job that was taken over, unless this entry has dropped it meanwhile.
+func (o *Owner) resume(now time.Time, k *keptJob) {
 	switch {
-	case b.jobs[k.id] != k || k.phase != takingOver:
+	case o.jobs[k.id] != k || k.phase != takingOver:
 	case len(k.cancellers) > 0:
 		k.phase = running
-		b.endJob(now, k, verdict.Cancelled)
+		o.endJob(now, k, verdict.Cancelled)
 	default:
-		b.submitToTable(now, k)
+		o.submitToTable(now, k)
 	}
 }
--- a/internal/kept/owner/adopt_test.go
+++ b/internal/kept/owner/adopt_test.go
@@ -14,8 +14,9 @@
 	"hillreel/internal/kept/record"
 )
 
-// TestAdoption: when a lease has ended for long enough, its jobs are taken over, all agents are asked, and only then the
-// job runs, with what they have told.
+// TestTakeOverJobs guards against a job that runs again although an agent still has an unreported end of it. The jobs of an
+// expired lease are taken over after the settle time. They run only after all agents were asked, with the ends that the
+// agents have reported.
 func TestTakeOverJobs(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -24,50 +25,51 @@
 		wait    time.Duration
 		asks    int
 	}{
-		{"another VM's", nil, "vm-2", settle + 200*time.Millisecond, 2},
-		{"an earlier life of the same VM's", nil, "vm-1", settle, 2},
-		{"nobody is asked", rule.Without(rule.AskFirst), "vm-2", settle + 200*time.Millisecond, 0},
+		{"lease of another VM", nil, "vm-2", settle + 200*time.Millisecond, 2},
+		{"lease of an earlier incarnation on the same VM", nil, "vm-1", settle, 2},
+		{"rule ask_first disabled", rule.Without(rule.AskFirst), "vm-2", settle + 200*time.Millisecond, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, test.without)
-			until := b.clock()
+			h := newHarness(t, test.without)
+			until := h.clock()
 			if test.node == "vm-1" {
-				until += time.Hour // the former life had just renewed it
+				until += time.Hour // the earlier incarnation had just renewed it
 			}
-			b.put(record.LeaseKey("old-0"), record.Lease{Node: test.node, UntilMs: until.Milliseconds()})
-			b.put(layout.JobKey(jobID), record.Job{
+			h.put(record.LeaseKey("old-0"), record.Lease{Node: test.node, UntilMs: until.Milliseconds()})
+			h.put(layout.JobKey(jobID), record.Job{
 				Spec: job.Spec{Text: "x", Steps: []job.Step{{Count: 2}}}, Route: route.Route{Name: "r", Service: "publish"},
 			})
-			b.put(layout.OpenKey(jobID), record.OpenJob{Owner: "old-0", Generation: 1, Sequence: 4, Ends: record.Ends{{Index: 1, Run: 3}}})
-			b.advance(test.wait-300*time.Millisecond, true)
-			qt.Assert(t, b.scans, qt.Equals, 0)
-			b.advance(2*time.Second, true)
-			qt.Assert(t, b.scans, qt.Equals, 1)
-			b.owner.HandleScan(b.now, b.page(record.OpenRows("").Table).Rows, b.page(record.Leases), nil)
-			qt.Assert(t, b.fetches, qt.DeepEquals, [][]job.ID{{jobID}})
-			b.owner.HandleFetch(b.now, b.fetches[0], []rows.Row{b.Rows[layout.JobKey(jobID)]}, nil)
-			b.completeWrites()
-			qt.Assert(t, b.asked, qt.HasLen, test.asks)
+			h.put(layout.OpenKey(jobID), record.OpenJob{Owner: "old-0", Generation: 1, Sequence: 4, Ends: record.Ends{{Index: 1, Run: 3}}})
+			h.advance(test.wait-300*time.Millisecond, true)
+			qt.Assert(t, h.scans, qt.Equals, 0)
+			h.advance(2*time.Second, true)
+			qt.Assert(t, h.scans, qt.Equals, 1)
+			h.owner.HandleScan(h.now, h.page(record.OpenRows("").Table).Rows, h.page(record.Leases), nil)
+			qt.Assert(t, h.fetches, qt.DeepEquals, [][]job.ID{{jobID}})
+			h.owner.HandleFetch(h.now, h.fetches[0], []rows.Row{h.Rows[layout.JobKey(jobID)]}, nil)
+			h.completeWrites()
+			qt.Assert(t, h.asked, qt.HasLen, test.asks)
 			if test.asks > 0 {
-				qt.Assert(t, b.submitted, qt.HasLen, 0)
-				b.owner.HandleStrayEnd(b.now, agentA, end(0, 2, job.Done))
-				b.owner.HandleEndsReported(b.now, agentA, b.asked[agentA])
-				qt.Assert(t, b.submitted, qt.HasLen, 0)
-				b.owner.HandleAgentLost(b.now, agentB)
+				qt.Assert(t, h.submitted, qt.HasLen, 0)
+				h.owner.HandleStrayEnd(h.now, agentA, end(0, 2, job.Done))
+				h.owner.HandleEndsReported(h.now, agentA, h.asked[agentA])
+				qt.Assert(t, h.submitted, qt.HasLen, 0)
+				h.owner.HandleAgentLost(h.now, agentB)
 			}
-			qt.Assert(t, b.submitted, qt.HasLen, 1)
-			known := b.submitted[0].Kept
+			qt.Assert(t, h.submitted, qt.HasLen, 1)
+			known := h.submitted[0].Kept
 			qt.Assert(t, known.Done[job.TaskID{Job: jobID, Index: 1}], qt.IsTrue)
 			qt.Assert(t, known.Done[job.TaskID{Job: jobID}], qt.Equals, test.asks > 0)
 			qt.Assert(t, known.LastRun, qt.Equals, job.Run(1024))
 			qt.Assert(t, known.Late, qt.IsTrue)
-			_, there := b.Rows[record.LeaseKey("old-0")]
-			qt.Assert(t, there, qt.IsFalse)
+			_, exists := h.Rows[record.LeaseKey("old-0")]
+			qt.Assert(t, exists, qt.IsFalse)
 		})
 	}
 }
 
-// TestEndsThatDoNotCount: what a new owner makes of ends that nobody has stored.
+// TestStrayEndsAfterTakeOver checks which ends that are not stored a new owner counts and which it declares void. A run that
+// was given up, or of which another run has ended well, must not count as well.
 func TestStrayEndsAfterTakeOver(t *testing.T) {
 	open := record.OpenJob{
 		Owner: "gone-0", Generation: 3, Sequence: 1, Ends: record.Ends{{Index: 1, Run: 2050}},
@@ -79,45 +81,45 @@
 		run   job.Run
 		void  bool
 	}{
-		{"of the last generation", 0, 2052, false},
-		{"given up before", 0, 2051, true},
-		{"of an earlier generation", 0, 2000, true},
-		{"of a task that has ended well", 1, 2051, true},
-		{"counted already", 1, 2050, false},
+		{"run of the last generation", 0, 2052, false},
+		{"run that was given up", 0, 2051, true},
+		{"run of an earlier generation", 0, 2000, true},
+		{"run of a task that has ended well", 1, 2051, true},
+		{"run that is counted already", 1, 2050, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newHarness(t, nil)
-			b.put(layout.JobKey(jobID), record.Job{Spec: job.Spec{Steps: []job.Step{{Count: 2}}}})
-			b.put(layout.OpenKey(jobID), open)
-			b.owner.Submit(b.now, dispatch.Request{Job: 99, Caller: 98, Spec: &job.Spec{}}) // takes the lease
-			b.acquireLease()
-			b.completeWrites()
-			b.advance(11*time.Second, true) // its owner's lease is gone, which a scan finds
-			qt.Assert(t, b.scans > 0, qt.IsTrue)
-			b.owner.HandleScan(b.now, []rows.Row{b.Rows[layout.OpenKey(jobID)]}, b.page(record.Leases), nil)
-			b.owner.HandleFetch(b.now, []job.ID{jobID}, []rows.Row{b.Rows[layout.JobKey(jobID)]}, nil)
-			b.completeWrites()
-			b.owner.HandleStrayEnd(b.now, agentA, end(test.index, test.run, job.Done))
-			qt.Assert(t, len(b.acks) == 1 && b.acks[0].void, qt.Equals, test.void)
+			h := newHarness(t, nil)
+			h.put(layout.JobKey(jobID), record.Job{Spec: job.Spec{Steps: []job.Step{{Count: 2}}}})
+			h.put(layout.OpenKey(jobID), open)
+			h.owner.Submit(h.now, dispatch.Request{Job: 99, Caller: 98, Spec: &job.Spec{}}) // requests the lease
+			h.acquireLease()
+			h.completeWrites()
+			h.advance(11*time.Second, true) // a scan finds that the lease of the job's owner does not exist
+			qt.Assert(t, h.scans > 0, qt.IsTrue)
+			h.owner.HandleScan(h.now, []rows.Row{h.Rows[layout.OpenKey(jobID)]}, h.page(record.Leases), nil)
+			h.owner.HandleFetch(h.now, []job.ID{jobID}, []rows.Row{h.Rows[layout.JobKey(jobID)]}, nil)
+			h.completeWrites()
+			h.owner.HandleStrayEnd(h.now, agentA, end(test.index, test.run, job.Done))
+			qt.Assert(t, len(h.acks) == 1 && h.acks[0].void, qt.Equals, test.void)
 		})
 	}
 }
 
-// TestAdoptionEnds: a job that is cancelled elsewhere while it is being taken over does not keep the lease that it came
-// from; and a lease whose row can't be read is nobody's to claim.
+// TestAdoptionEnds guards against a lease row that is never removed because one of its jobs was cancelled by another entry
+// during the takeover. It also checks that a lease whose row can't be decoded is not claimed.
 func TestAdoptionEnds(t *testing.T) {
-	b := newHarness(t, nil)
-	b.put(record.LeaseKey("old-0"), record.Lease{Node: "vm-2"})
-	b.put(layout.JobKey(jobID), record.Job{Spec: job.Spec{Steps: []job.Step{{Count: 1}}}})
-	b.put(layout.OpenKey(jobID), record.OpenJob{Owner: "old-0", Generation: 1, Sequence: 1})
-	b.advance(3*time.Second, true)
-	b.owner.HandleScan(b.now, b.page(record.OpenRows("").Table).Rows, b.page(record.Leases), nil)
-	b.owner.HandleRemoteCancellations(b.now, []job.ID{jobID})
-	b.advance(time.Second, true)
-	b.completeWrites()
-	qt.Assert(t, b.page(record.Leases).Rows, qt.HasLen, 1) // its own
-	b.put(record.LeaseKey("strange"), "no lease")
-	b.advance(5*time.Second, true)
-	row := b.Rows[record.LeaseKey("strange")]
+	h := newHarness(t, nil)
+	h.put(record.LeaseKey("old-0"), record.Lease{Node: "vm-2"})
+	h.put(layout.JobKey(jobID), record.Job{Spec: job.Spec{Steps: []job.Step{{Count: 1}}}})
+	h.put(layout.OpenKey(jobID), record.OpenJob{Owner: "old-0", Generation: 1, Sequence: 1})
+	h.advance(3*time.Second, true)
+	h.owner.HandleScan(h.now, h.page(record.OpenRows("").Table).Rows, h.page(record.Leases), nil)
+	h.owner.HandleRemoteCancellations(h.now, []job.ID{jobID})
+	h.advance(time.Second, true)
+	h.completeWrites()
+	qt.Assert(t, h.page(record.Leases).Rows, qt.HasLen, 1) // the entry's own lease
+	h.put(record.LeaseKey("strange"), "no lease")
+	h.advance(5*time.Second, true)
+	row := h.Rows[record.LeaseKey("strange")]
 	qt.Assert(t, string(row.Value), qt.Equals, `"no lease"`)
 }
--- a/internal/kept/owner/bench_test.go
+++ b/internal/kept/owner/bench_test.go
@@ -30,14 +30,14 @@
 	lease          = 4 * time.Second
 )
 
-// noted is one word to an agent about ends.
+// ack is one acknowledgement of an end to an agent.
 type ack struct {
 	agent ident.Incarnation
 	run   fleet.RunRef
 	void  bool
 }
 
-// bench drives a Book by hand, with a store that does what it is told when the test says so.
+// harness drives an Owner step by step. Its store carries out reads and writes when the test says so.
 type harness struct {
 	memory.Store
 	t           *testing.T
@@ -57,82 +57,82 @@
 	answers     map[dispatch.CallerID]dispatch.Answer
 }
 
-func (b *harness) Unavailable() bool                      { return b.unavailable }
-func (b *harness) Write(op jobstore.Op)                   { b.writes = append(b.writes, op) }
-func (b *harness) ReadLeases()                            { b.reads++ }
-func (b *harness) Scan()                                  { b.scans++ }
-func (b *harness) Fetch(ids []job.ID)                     { b.fetches = append(b.fetches, ids) }
-func (b *harness) LookUp(id job.ID)                       { b.lookups = append(b.lookups, id) }
-func (b *harness) Submit(_ time.Time, r dispatch.Request) { b.submitted = append(b.submitted, r) }
-func (b *harness) Release(_ time.Time, id job.ID, _ verdict.Reason) {
-	b.released = append(b.released, id)
+func (h *harness) Unavailable() bool                      { return h.unavailable }
+func (h *harness) Write(op jobstore.Op)                   { h.writes = append(h.writes, op) }
+func (h *harness) ReadLeases()                            { h.reads++ }
+func (h *harness) Scan()                                  { h.scans++ }
+func (h *harness) Fetch(ids []job.ID)                     { h.fetches = append(h.fetches, ids) }
+func (h *harness) LookUp(id job.ID)                       { h.lookups = append(h.lookups, id) }
+func (h *harness) Submit(_ time.Time, r dispatch.Request) { h.submitted = append(h.submitted, r) }
+func (h *harness) Release(_ time.Time, id job.ID, _ verdict.Reason) {
+	h.released = append(h.released, id)
 }
-func (b *harness) PlaceAgain(_ time.Time, t job.TaskID)               { b.placed = append(b.placed, t) }
-func (b *harness) Waiting() map[route.Name]int                        { return map[route.Name]int{"r": 3} }
-func (b *harness) Linked() []ident.Incarnation                        { return []ident.Incarnation{agentA, agentB} }
-func (b *harness) Ask(a ident.Incarnation, number uint64, _ []job.ID) { b.asked[a] = number }
-func (b *harness) Answer(c dispatch.CallerID, a dispatch.Answer)      { b.answers[c] = a }
-func (b *harness) Acknowledge(a ident.Incarnation, r []fleet.RunRef, v bool) {
+func (h *harness) PlaceAgain(_ time.Time, t job.TaskID)               { h.placed = append(h.placed, t) }
+func (h *harness) Waiting() map[route.Name]int                        { return map[route.Name]int{"r": 3} }
+func (h *harness) Linked() []ident.Incarnation                        { return []ident.Incarnation{agentA, agentB} }
+func (h *harness) Ask(a ident.Incarnation, number uint64, _ []job.ID) { h.asked[a] = number }
+func (h *harness) Answer(c dispatch.CallerID, a dispatch.Answer)      { h.answers[c] = a }
+func (h *harness) Acknowledge(a ident.Incarnation, r []fleet.RunRef, v bool) {
 	for _, run := range r {
-		b.acks = append(b.acks, ack{a, run, v})
+		h.acks = append(h.acks, ack{a, run, v})
 	}
 }
 
 func newHarness(t *testing.T, without rule.Set) *harness {
-	b := &harness{
+	h := &harness{
 		Store: memory.New(), t: t, now: time.Unix(1000, 0), asked: make(map[ident.Incarnation]uint64),
 		answers: make(map[dispatch.CallerID]dispatch.Answer),
 	}
-	b.owner = owner.New(owner.Options{
+	h.owner = owner.New(owner.Options{
 		Node: "vm-1", Incarnation: 1, Layout: layout, LeaseDuration: lease, RenewInterval: 500 * time.Millisecond, Retention: time.Minute,
 		MaxRow: 1000, SettleTime: settle, Without: without, Count: func(string) {}, Log: logs.Discard(),
-	}, b, b, b, b, b.now)
-	return b
+	}, h, h, h, h, h.now)
+	return h
 }
 
-// clock is the store's clock.
-func (b *harness) clock() time.Duration { return b.now.Sub(time.Unix(0, 0)) }
+// clock returns the time of the store's clock.
+func (h *harness) clock() time.Duration { return h.now.Sub(time.Unix(0, 0)) }
 
-// put writes a row as somebody else does.
-func (b *harness) put(k rows.Key, v any) {
+// put writes a row as another entry would.
+func (h *harness) put(k rows.Key, v any) {
 	raw, err := record.Encode(v)
-	qt.Assert(b.t, err, qt.IsNil)
-	b.Put(k, raw)
+	qt.Assert(h.t, err, qt.IsNil)
+	h.Put(k, raw)
 }
 
-// write carries out the oldest write; lost ones are done, and done again by their repetition.
-func (b *harness) completeWrite(lost bool) {
-	op := b.writes[0]
-	b.writes = b.writes[1:]
+// completeWrite carries out the oldest write. If lost is true, the write's first answer is lost and the write is repeated.
+func (h *harness) completeWrite(lost bool) {
+	op := h.writes[0]
+	h.writes = h.writes[1:]
 	if lost {
-		b.Commit(op.Txn)
+		h.Commit(op.Txn)
 	}
-	if b.Commit(op.Txn) {
-		b.owner.HandleWriteResult(b.now, jobstore.Result{ID: op.ID, Outcome: jobstore.Done, Version: b.Version})
+	if h.Commit(op.Txn) {
+		h.owner.HandleWriteResult(h.now, jobstore.Result{ID: op.ID, Outcome: jobstore.Done, Version: h.Version})
 		return
 	}
 	r := jobstore.Result{ID: op.ID, Outcome: jobstore.Conflict}
 	for _, k := range op.ReadOnConflict {
-		r.Found = append(r.Found, b.Rows[k])
+		r.Found = append(r.Found, h.Rows[k])
 	}
-	b.owner.HandleWriteResult(b.now, r)
+	h.owner.HandleWriteResult(h.now, r)
 }
 
-// writeAll carries out all writes, and those that follow from them.
-func (b *harness) completeWrites() {
-	for len(b.writes) > 0 {
-		b.completeWrite(false)
+// completeWrites carries out all writes, and those that follow from them.
+func (h *harness) completeWrites() {
+	for len(h.writes) > 0 {
+		h.completeWrite(false)
 	}
 }
 
-// leases answers a reading of the leases.
-func (b *harness) answerLeases() {
-	b.owner.HandleLeases(b.now, b.now, b.page(record.Leases), nil)
+// answerLeases answers a read of the leases.
+func (h *harness) answerLeases() {
+	h.owner.HandleLeases(h.now, h.now, h.page(record.Leases), nil)
 }
 
-func (b *harness) page(t rows.Table) rows.Page {
-	p := rows.Page{Now: b.clock()}
-	for k, r := range b.Rows {
+func (h *harness) page(t rows.Table) rows.Page {
+	p := rows.Page{Now: h.clock()}
+	for k, r := range h.Rows {
 		if k.Table == t {
 			p.Rows = append(p.Rows, r)
 		}
@@ -140,41 +140,41 @@
 	return p
 }
 
-// pass lets time pass in ticks, with leases read and writes done all the while.
-func (b *harness) advance(d time.Duration, store bool) {
-	for end := b.now.Add(d); b.now.Before(end); {
-		b.now = b.now.Add(100 * time.Millisecond)
-		reads := b.reads
-		b.owner.Tick(b.now)
-		if store && b.reads > reads {
-			b.answerLeases()
-			b.completeWrites()
+// advance moves the time forward in ticks. If store is true, reads of leases are answered and writes are completed.
+func (h *harness) advance(d time.Duration, store bool) {
+	for end := h.now.Add(d); h.now.Before(end); {
+		h.now = h.now.Add(100 * time.Millisecond)
+		reads := h.reads
+		h.owner.Tick(h.now)
+		if store && h.reads > reads {
+			h.answerLeases()
+			h.completeWrites()
 		}
 	}
 }
 
-// hold gives the book its lease.
-func (b *harness) acquireLease() {
-	b.owner.Tick(b.now)
-	b.answerLeases()
-	b.completeWrites()
+// acquireLease lets the owner acquire its lease.
+func (h *harness) acquireLease() {
+	h.owner.Tick(h.now)
+	h.answerLeases()
+	h.completeWrites()
 }
 
-func (b *harness) submit(c dispatch.CallerID) {
-	b.owner.Submit(b.now, dispatch.Request{
-		Job: jobID, Caller: c, Deadline: b.now.Add(3 * time.Second), Route: route.Route{Name: "r", Service: "publish", Attempts: 2},
+func (h *harness) submit(c dispatch.CallerID) {
+	h.owner.Submit(h.now, dispatch.Request{
+		Job: jobID, Caller: c, Deadline: h.now.Add(3 * time.Second), Route: route.Route{Name: "r", Service: "publish", Attempts: 2},
 		Spec: &job.Spec{Text: "x", Steps: []job.Step{{Count: 2, Each: job.Resources{CPU: 1000}, Estimate: time.Second}}},
 	})
 }
 
-// start returns a bench with a job that runs.
+// newHarnessWithJob returns a harness with a running job.
 func newHarnessWithJob(t *testing.T, without rule.Set) *harness {
-	b := newHarness(t, without)
-	b.submit(1)
-	b.acquireLease()
-	b.completeWrites()
-	qt.Assert(t, b.submitted, qt.HasLen, 1)
-	return b
+	h := newHarness(t, without)
+	h.submit(1)
+	h.acquireLease()
+	h.completeWrites()
+	qt.Assert(t, h.submitted, qt.HasLen, 1)
+	return h
 }
 
 func end(index uint32, run job.Run, o job.Outcome) fleet.End {
--- a/internal/kept/owner/book.go
+++ b/internal/kept/owner/book.go
@@ -1,9 +1,10 @@
-// Package book keeps the jobs that must outlive all processes, for the entry that owns them. It is a state machine
-// without I/O and without a clock of its own; one goroutine uses it.
+// Package owner manages the kept jobs that one entry owns. A kept job is durable: it survives the loss of every process.
+// The package is a state machine without I/O and without its own clock; one goroutine uses it.
 //
-// A job is accepted once the store has its rows. Its owner acts for it while its own lease lives; when the lease has
-// ended, another entry takes the job over by a conditional write, asks all agents for ends that nobody has stored, and
-// goes on from there. Ends are stored before upstreams may forget them, and before callers hear of them.
+// A job is accepted once its rows are in the store. The owning entry may act for its jobs only while it holds its lease.
+// After the lease has expired, another entry takes each job over by a conditional write, asks all agents for ends of runs
+// that are not stored yet, and then continues the job. The end of a run is stored before the upstream may discard it. The
+// end of a job is stored before callers are told of it.
 package owner
 
 import (
@@ -30,9 +31,11 @@
 	"hillreel/internal/kept/record"
 )
 
-// Store carries out writes and readings; each is answered later by Written, LeasesRead, Scanned, Fetched or Looked.
+// Store starts reads and writes. Their results arrive later at the Owner through HandleWriteResult, HandleLeases,
+// HandleScan, HandleFetch and HandleLookUp.
 type Store interface {
-	// Away tells whether the store has not answered for a while; what is written then is in doubt for long.
+	// Unavailable reports whether the store has not answered for some time. The outcome of a write that is started then
+	// stays unknown for a long time.
 	Unavailable() bool
 	Write(op jobstore.Op)
 	ReadLeases()
@@ -41,43 +44,43 @@
 	LookUp(id job.ID)
 }
 
-// Table runs jobs.
+// Table schedules the tasks of jobs; it is the entry's dispatch table.
 type Table interface {
 	Submit(now time.Time, r dispatch.Request)
 	Release(now time.Time, id job.ID, why verdict.Reason)
 	PlaceAgain(now time.Time, task job.TaskID)
-	// Waiting counts the jobs that have not begun, by queue.
+	// Waiting returns, by queue, the number of jobs that have not started.
 	Waiting() map[route.Name]int
 }
 
-// Agents sends to agents.
+// Agents sends messages to agents.
 type Agents interface {
 	inquiry.Agents
 	acks.Agents
 }
 
-// Options are the settings of a Book.
+// Options configures an Owner.
 type Options struct {
-	// Node is the entry's VM, Incarnation this life of the entry.
+	// Node is the entry's VM. Incarnation identifies this process of the entry.
 	Node        string
 	Incarnation ident.Incarnation
 	Layout      record.Layout
-	// Lease is how long the entry's lease lasts, Renew the pause between renewals.
+	// LeaseDuration is how long the entry's lease lasts. RenewInterval is the pause between renewals.
 	LeaseDuration, RenewInterval time.Duration
 	// MaxRow bounds the value of a row, in bytes.
 	MaxRow int
-	// Keep is how long the state of a job that has ended can be asked for.
+	// Retention is how long the state of an ended job can be queried.
 	Retention time.Duration
-	// Settle is how long after an entry has stopped acting nothing of it runs any more.
+	// SettleTime is the time after an entry has stopped acting by which none of its runs is running any more.
 	SettleTime time.Duration
-	// Without leaves out safety rules, for experiments only.
+	// Without disables safety rules, for experiments only.
 	Without rule.Set
-	// Count counts an event, for metrics.
+	// Count increments the metric of an event.
 	Count func(event string)
 	Log   *logrus.Entry
 }
 
-// Book holds the kept jobs of one entry.
+// Owner holds the kept jobs that one entry owns or is taking over.
 type Owner struct {
 	opts    Options
 	store   Store
@@ -86,133 +89,134 @@
 
 	jobs      map[job.ID]*keptJob
 	endedJobs *recent.Jobs
-	// notes tells agents which ends are stored.
+	// acks tells agents which ends are stored and which are void.
 	acks *acks.Sender
-	// ops are the writes under way, by id.
+	// pendingWrites holds the callbacks of the writes in progress, by id.
 	pendingWrites map[jobstore.OpID]func(now time.Time, r jobstore.Result)
 	lastWrite     jobstore.OpID
 
 	lease *lease.Lease
-	// claims are of other entries' leases that have ended.
+	// claims tracks the expired leases of other entries whose jobs this entry takes over.
 	claims *claims.Claims
-	// inquiry asks agents for ends of jobs that were taken over.
+	// inquiry asks agents for the ends of jobs that were taken over.
 	inquiry *inquiry.Inquiry
 }
 
-// phase is where a kept job stands.
+// phase is the stage of a kept job on this entry.
 type phase string
 
 const (
-	// asked: it waits for the entry's lease.
+	// awaitingLease: the job waits until the entry holds a lease.
 	awaitingLease phase = "asked"
-	// accepting: its rows are being written.
+	// accepting: the job's rows are being written.
 	accepting phase = "accepting"
-	// adopting: it is being taken over from another entry.
+	// takingOver: the job is being taken over from another entry, or from an earlier generation of this one.
 	takingOver phase = "adopting"
-	// running: it is in the table.
+	// running: the job is in the dispatch table.
 	running phase = "running"
 )
 
-// keptJob is one job that this entry owns, or is about to.
+// keptJob is one job that this entry owns, or is about to own.
 type keptJob struct {
 	id     job.ID
 	record record.Job
-	// row is record as it is written, until that has begun.
+	// encodedRecord is the encoded record. It is nil once the write of the job's rows has started.
 	encodedRecord []byte
-	// sender is its caller's own id of the request, for the log; it is not stored.
-	sender string
-	phase  phase
-	// callers wait for its acceptance until giveUp, cancels for its end; watchers want to know its state, at the latest at
-	// their deadlines.
+	// requestID is the caller's own id of the request. It is only logged, not stored.
+	requestID string
+	phase     phase
+	// callers wait for the job to be accepted. A job that still waits for a lease at acceptDeadline is refused.
+	// cancellers wait for the job to end. watchers wait for the job to end until their own deadlines.
 	callers        waiters
 	acceptDeadline time.Time
 	cancellers     waiters
 	watchers       waiters
 
-	// open is the row as it is to be written next, version that of the row in the store.
+	// open is the job's open row as it will be written next. version is the version of the row in the store.
 	open    record.OpenJob
 	version rows.Version
-	// writing is true while a write of the job is under way.
+	// writing is true while a write of the job is in progress.
 	writing bool
-	// unstored are ends that the next write stores, storing those of the write under way. dirtySince is when the oldest
-	// of unstored came.
+	// unstoredEnds are the ends that the next write stores; endsInWrite are those of the write in progress. unstoredSince
+	// is when the oldest of unstoredEnds arrived.
 	unstoredEnds, endsInWrite []acks.End
 	unstoredSince             time.Time
-	// lost are tasks whose last run was given up, and which are placed again once the next write has said so; losing are
-	// those of the write under way.
+	// lostTasks are the tasks whose last run was given up. They are placed again once the next write has stored that the
+	// run is void. lostTasksInWrite are those of the write in progress.
 	lostTasks, lostTasksInWrite []job.TaskID
-	// renew is true for a job that begins a new generation under this same entry with the next write.
+	// newGeneration is true if the next write starts a new generation of the job under this same entry.
 	newGeneration bool
-	// final is empty until the job has ended.
+	// finalState is empty until the job has ended.
 	finalState verdict.State
 }
 
-// New returns an empty Book.
-func New(o Options, s Store, t Table, a Agents, c dispatch.Callers, now time.Time) *Owner {
-	b := &Owner{
-		opts: o, store: s, table: t, callers: c, jobs: make(map[job.ID]*keptJob), endedJobs: recent.New(),
+// New returns an Owner without jobs.
+func New(opts Options, s Store, t Table, a Agents, c dispatch.Callers, now time.Time) *Owner {
+	o := &Owner{
+		opts: opts, store: s, table: t, callers: c, jobs: make(map[job.ID]*keptJob), endedJobs: recent.New(),
 		pendingWrites: make(map[jobstore.OpID]func(time.Time, jobstore.Result)),
-		acks:          acks.New(a, s, o.Log), inquiry: inquiry.New(a, o.SettleTime, o.Without),
+		acks:          acks.New(a, s, opts.Log), inquiry: inquiry.New(a, opts.SettleTime, opts.Without),
 	}
-	b.lease = lease.New(lease.Options{
-		Node: o.Node, Incarnation: o.Incarnation, Duration: o.LeaseDuration, RenewInterval: o.RenewInterval, Without: o.Without, Log: o.Log,
-	}, leaseCallbacks{b}, now)
-	b.claims = claims.New(claims.Options{
-		Node: o.Node, LeaseDuration: o.LeaseDuration, SettleTime: o.SettleTime, LogEvent: b.logEvent, Log: o.Log,
-	}, b.lease, leaseCallbacks{b})
-	return b
+	o.lease = lease.New(lease.Options{
+		Node: opts.Node, Incarnation: opts.Incarnation, Duration: opts.LeaseDuration, RenewInterval: opts.RenewInterval,
+		Without: opts.Without, Log: opts.Log,
+	}, leaseCallbacks{o}, now)
+	o.claims = claims.New(claims.Options{
+		Node: opts.Node, LeaseDuration: opts.LeaseDuration, SettleTime: opts.SettleTime, LogEvent: o.logEvent, Log: opts.Log,
+	}, o.lease, leaseCallbacks{o})
+	return o
 }
 
-// Jobs returns how many jobs are held.
-func (b *Owner) Len() int { return len(b.jobs) }
+// Len returns the number of jobs that the Owner holds. Ended jobs are not counted.
+func (o *Owner) Len() int { return len(o.jobs) }
 
-// write begins a write; then is called with what came of it.
-func (b *Owner) startWrite(op jobstore.Op, then func(now time.Time, r jobstore.Result)) {
-	b.lastWrite++
-	op.ID = b.lastWrite
-	b.pendingWrites[op.ID] = then
-	b.store.Write(op)
+// startWrite starts a write; then is called with its result.
+func (o *Owner) startWrite(op jobstore.Op, then func(now time.Time, r jobstore.Result)) {
+	o.lastWrite++
+	op.ID = o.lastWrite
+	o.pendingWrites[op.ID] = then
+	o.store.Write(op)
 }
 
-// Written handles the end of a write.
-func (b *Owner) HandleWriteResult(now time.Time, r jobstore.Result) {
-	then := b.pendingWrites[r.ID]
-	delete(b.pendingWrites, r.ID)
+// HandleWriteResult handles the result of a write.
+func (o *Owner) HandleWriteResult(now time.Time, r jobstore.Result) {
+	then := o.pendingWrites[r.ID]
+	delete(o.pendingWrites, r.ID)
 	if then != nil {
 		then(now, r)
 	}
 }
 
-// value encodes a row's value.
-func (b *Owner) encode(v any) []byte { return record.EncodeLogged(b.opts.Log, v) }
+// encode encodes the value of a row.
+func (o *Owner) encode(v any) []byte { return record.EncodeLogged(o.opts.Log, v) }
 
-// event logs and counts an event.
-func (b *Owner) logEvent(level logrus.Level, name string, f logrus.Fields) {
-	b.opts.Count(name)
-	b.opts.Log.WithFields(f).Log(level, name)
+// logEvent logs and counts an event.
+func (o *Owner) logEvent(level logrus.Level, name string, f logrus.Fields) {
+	o.opts.Count(name)
+	o.opts.Log.WithFields(f).Log(level, name)
 }
 
-// sorted lists the jobs in the order of their ids, so that runs repeat.
-func (b *Owner) sortedJobs() []*keptJob {
-	return slices.SortedFunc(maps.Values(b.jobs), func(x, y *keptJob) int { return cmp.Compare(x.id, y.id) })
+// sortedJobs lists the jobs by id, so that the order of actions is deterministic.
+func (o *Owner) sortedJobs() []*keptJob {
+	return slices.SortedFunc(maps.Values(o.jobs), func(x, y *keptJob) int { return cmp.Compare(x.id, y.id) })
 }
 
-// Tick does what time alone brings about.
-func (b *Owner) Tick(now time.Time) {
-	b.lease.Tick(now, len(b.jobs) > 0 || b.claims.HasClaims())
-	for _, k := range b.sortedJobs() {
+// Tick does all work that depends on time: it renews the lease, expires callers and stores overdue progress.
+func (o *Owner) Tick(now time.Time) {
+	o.lease.Tick(now, len(o.jobs) > 0 || o.claims.HasClaims())
+	for _, k := range o.sortedJobs() {
 		switch k.phase {
 		case awaitingLease, accepting:
-			b.expireCallers(now, k)
+			o.expireCallers(now, k)
 		case running:
-			b.storeProgress(now, k)
+			o.storeProgress(now, k)
 		}
-		b.answerDueWatchers(now, k)
+		o.answerDueWatchers(now, k)
 	}
-	b.inquiry.Tick(now)
-	b.claims.RemoveFinished()
+	o.inquiry.Tick(now)
+	o.claims.RemoveFinished()
 }
 
-// NotBegun counts a queue's jobs that have not begun at other entries, as they said last. This entry's own are counted
-// by its table.
-func (b *Owner) NotBegun(r route.Name) int { return b.claims.NotBegun(r) }
+// NotBegun returns how many jobs of a queue have not started at other entries, according to the last read of their
+// leases. The dispatch table counts this entry's own jobs.
+func (o *Owner) NotBegun(r route.Name) int { return o.claims.NotBegun(r) }
--- a/internal/kept/owner/crash.go
+++ b/internal/kept/owner/crash.go
@@ -6,17 +6,17 @@
 	"hillreel/internal/core/fleet"
 )
 
-// Crashed notes that an upstream was lost under a task of a job that is held. It is written ahead of the task's next start (RunLost),
-// or else with the next write.
-func (b *Owner) Crashed(_ time.Time, c fleet.Crash) {
-	if k := b.jobs[c.Task.Job]; k != nil && k.phase == running {
+// Crashed records that an upstream was lost while it ran a task of a running job. The record is stored before the task starts again
+// (see RunLost), or otherwise with the next write of the job.
+func (o *Owner) Crashed(_ time.Time, c fleet.Crash) {
+	if k := o.jobs[c.Task.Job]; k != nil && k.phase == running {
 		k.open.AddCrash(c)
 	}
 }
 
-// Refuted forgets the crashes of a life that has answered since.
-func (b *Owner) Refuted(_ time.Time, r fleet.Refutation) {
-	for _, k := range b.jobs {
+// Refuted removes the crashes of an upstream incarnation that was taken for lost and has answered since.
+func (o *Owner) Refuted(_ time.Time, r fleet.Refutation) {
+	for _, k := range o.jobs {
 		k.open.DropCrashes(r)
 	}
 }
--- a/internal/kept/owner/lease.go
+++ b/internal/kept/owner/lease.go
@@ -12,71 +12,71 @@
 	"hillreel/internal/kept/record"
 )
 
-// leaseOwner is a book as its lease, and the claims of others, see it.
+// leaseCallbacks adapts an Owner to the interfaces lease.Handler and claims.Store.
 type leaseCallbacks struct{ *Owner }
 
-// Write begins a write.
-func (b leaseCallbacks) Write(op jobstore.Op, then func(now time.Time, r jobstore.Result)) {
-	b.startWrite(op, then)
+// Write starts a write; then is called with its result.
+func (o leaseCallbacks) Write(op jobstore.Op, then func(now time.Time, r jobstore.Result)) {
+	o.startWrite(op, then)
 }
 
-// Scan reads all open jobs.
-func (b leaseCallbacks) Scan() { b.store.Scan() }
+// Scan starts reading all open jobs.
+func (o leaseCallbacks) Scan() { o.store.Scan() }
 
-// ReadLeases reads all leases.
-func (b leaseCallbacks) ReadLeases() { b.store.ReadLeases() }
+// ReadLeases starts reading all leases.
+func (o leaseCallbacks) ReadLeases() { o.store.ReadLeases() }
 
-// Waiting counts the jobs that have not begun, by queue.
-func (b leaseCallbacks) Waiting() map[route.Name]int { return b.table.Waiting() }
+// Waiting returns, by queue, the number of jobs that have not started.
+func (o leaseCallbacks) Waiting() map[route.Name]int { return o.table.Waiting() }
 
-// Held lets jobs be accepted that have waited for the lease.
-func (b leaseCallbacks) OnHeld(now time.Time, first bool) {
+// OnHeld accepts the jobs that were waiting for the lease.
+func (o leaseCallbacks) OnHeld(now time.Time, first bool) {
 	if first {
-		b.logEvent(logrus.InfoLevel, "lease_held", logrus.Fields{"lease": b.lease.ID()})
-		b.claims.HandleOwnLeaseHeld(now)
+		o.logEvent(logrus.InfoLevel, "lease_held", logrus.Fields{"lease": o.lease.ID()})
+		o.claims.HandleOwnLeaseHeld(now)
 	}
-	for _, k := range b.sortedJobs() {
+	for _, k := range o.sortedJobs() {
 		if k.phase == awaitingLease {
-			b.accept(now, k)
+			o.accept(now, k)
 		}
 	}
 }
 
-// Lost stops acting for all jobs but those that wait for a lease.
-func (b leaseCallbacks) OnLost(now time.Time, id record.LeaseID, why string) (wanted bool) {
-	b.logEvent(logrus.WarnLevel, "lease_lost", logrus.Fields{"lease": id, "jobs": len(b.jobs), "why": why})
-	for _, k := range b.sortedJobs() {
+// OnLost drops all jobs except those that still wait for a lease. It reports whether any such job is left.
+func (o leaseCallbacks) OnLost(now time.Time, id record.LeaseID, why string) (wanted bool) {
+	o.logEvent(logrus.WarnLevel, "lease_lost", logrus.Fields{"lease": id, "jobs": len(o.jobs), "why": why})
+	for _, k := range o.sortedJobs() {
 		if k.phase != awaitingLease {
-			b.dropJob(now, k, why)
+			o.dropJob(now, k, why)
 		}
 	}
-	b.claims.Clear()
-	b.inquiry.Clear()
-	return len(b.jobs) > 0
+	o.claims.Clear()
+	o.inquiry.Clear()
+	return len(o.jobs) > 0
 }
 
-// Active tells whether this entry has a lease, or another entry is known to have one.
-func (b *Owner) AnyLease(now time.Time) bool { return b.lease.Held(now) || b.claims.HasOthers() }
+// AnyLease reports whether this entry holds a lease, or knows of a lease of another entry.
+func (o *Owner) AnyLease(now time.Time) bool { return o.lease.Held(now) || o.claims.HasOthers() }
 
-// Leave ends the lease, so that other entries take its jobs over at once.
-func (b *Owner) ReleaseLease(now time.Time) { b.lease.Release(now, len(b.jobs) > 0) }
+// ReleaseLease ends the lease, so that other entries take the jobs over without waiting for it to expire.
+func (o *Owner) ReleaseLease(now time.Time) { o.lease.Release(now, len(o.jobs) > 0) }
 
-// LeasesRead handles the answer to a reading of the leases that was begun at sent.
-func (b *Owner) HandleLeases(now, sent time.Time, page rows.Page, err error) {
+// HandleLeases handles the result of a read of the leases that started at sent.
+func (o *Owner) HandleLeases(now, sent time.Time, page rows.Page, err error) {
 	if err != nil {
-		b.lease.HandleReadFailed(now) // the reader has logged it
+		o.lease.HandleReadFailed(now) // the Store has logged the error
 		return
 	}
 	others := slices.Clone(page.Rows)
 	var own *rows.Row
-	if i := slices.IndexFunc(others, b.isOwnLease); i >= 0 {
+	if i := slices.IndexFunc(others, o.isOwnLease); i >= 0 {
 		own = &page.Rows[i]
 		others = slices.Delete(others, i, i+1)
 	}
-	b.claims.HandleLeases(now, page.Now, others)
-	b.lease.HandleRead(now, sent, page.Now, own, b.claims.HasOthers())
-	b.claims.ScanIfDue(now)
+	o.claims.HandleLeases(now, page.Now, others)
+	o.lease.HandleRead(now, sent, page.Now, own, o.claims.HasOthers())
+	o.claims.ScanIfDue(now)
 }
 
-// isOwn tells whether a row is that of this entry's lease.
-func (b *Owner) isOwnLease(lease rows.Row) bool { return lease.Key.Name == string(b.lease.ID()) }
+// isOwnLease reports whether a row holds this entry's lease.
+func (o *Owner) isOwnLease(lease rows.Row) bool { return lease.Key.Name == string(o.lease.ID()) }
--- a/internal/kept/owner/submit.go
+++ b/internal/kept/owner/submit.go
@@ -14,109 +14,112 @@
 	"hillreel/internal/kept/record"
 )
 
-// accepted is the answer once a job is stored.
+// acceptedAnswer is the answer to a submission once the job is stored.
 var acceptedAnswer = dispatch.Answer{State: verdict.Accepted, Verdict: verdict.MayHaveRun}
 
-// noSuchJob is the answer to a cancellation of a job that was not stored.
+// noSuchJobAnswer is the answer to a cancellation of a job that was not stored.
 var noSuchJobAnswer = dispatch.Answer{State: verdict.Unknown, Verdict: verdict.NotRun, Reason: verdict.NotFound}
 
 const (
-	// acceptFor is how long a job waits for the store at least: two of its answers at sixty times their usual 4 ms. A job
-	// with a longer objective waits for as long as that.
+	// minAcceptTimeout is the minimum time that a job waits for the store: time for two answers, each sixty times slower
+	// than the usual 4 ms. A job with a longer objective waits for the time of its objective.
 	minAcceptTimeout = 500 * time.Millisecond
-	// refusedRetry is when a caller may come back whose job could not be stored: outages of the store last seconds.
+	// refusedRetryAfter is when a caller may retry whose job could not be stored. Outages of the store last seconds.
 	refusedRetryAfter = time.Second
 )
 
-// Submit takes a job that is to be kept. It is answered once it is stored. What is sent again under the id of a job that is
-// known is not compared with it: the first one that is stored stays in force.
-func (b *Owner) Submit(now time.Time, r dispatch.Request) {
-	if k := b.jobs[r.Job]; k != nil && (k.phase == awaitingLease || k.phase == accepting) {
+// Submit accepts a kept job. The caller is answered once the job is stored. A submission with the id of a known job is not
+// compared with that job: the submission that is stored first stays in force.
+func (o *Owner) Submit(now time.Time, r dispatch.Request) {
+	if k := o.jobs[r.Job]; k != nil && (k.phase == awaitingLease || k.phase == accepting) {
 		k.callers.add(r.Caller, r.Deadline)
 		return
 	}
-	if b.jobs[r.Job] != nil || b.endedJobs.Has(r.Job) {
-		b.callers.Answer(r.Caller, acceptedAnswer)
+	if o.jobs[r.Job] != nil || o.endedJobs.Has(r.Job) {
+		o.callers.Answer(r.Caller, acceptedAnswer)
 		return
 	}
 	k := &keptJob{
-		id: r.Job, record: record.Job{Spec: *r.Spec, Route: r.Route}, sender: r.RequestID, phase: awaitingLease, callers: waiters{{r.Caller, r.Deadline}},
+		id: r.Job, record: record.Job{Spec: *r.Spec, Route: r.Route}, requestID: r.RequestID, phase: awaitingLease,
+		callers:        waiters{{r.Caller, r.Deadline}},
 		acceptDeadline: now.Add(max(minAcceptTimeout, r.Route.Objective(r.Spec.CriticalPath()))),
 	}
-	k.encodedRecord = b.encode(k.record)
-	if len(k.encodedRecord) > b.opts.MaxRow {
-		b.callers.Answer(r.Caller, dispatch.Answer{State: verdict.Refused, Verdict: verdict.NotRun, Reason: verdict.TooLarge})
+	k.encodedRecord = o.encode(k.record)
+	if len(k.encodedRecord) > o.opts.MaxRow {
+		o.callers.Answer(r.Caller, dispatch.Answer{State: verdict.Refused, Verdict: verdict.NotRun, Reason: verdict.TooLarge})
 		return
 	}
-	if b.store.Unavailable() {
-		b.callers.Answer(r.Caller, b.refuse(k, "store_away"))
+	if o.store.Unavailable() {
+		o.callers.Answer(r.Caller, o.refuse(k, "store_away"))
 		return
 	}
-	b.jobs[k.id] = k
-	if !b.lease.Held(now) {
-		b.lease.Request(now)
+	o.jobs[k.id] = k
+	if !o.lease.Held(now) {
+		o.lease.Request(now)
 		return
 	}
-	b.accept(now, k)
+	o.accept(now, k)
 }
 
-// accept writes a job's rows.
-func (b *Owner) accept(now time.Time, k *keptJob) {
+// accept starts the write of a new job's rows.
+func (o *Owner) accept(now time.Time, k *keptJob) {
 	k.phase = accepting
-	k.open = record.OpenJob{Owner: b.lease.ID(), Generation: 1, Sequence: 1}
-	l := b.opts.Layout
+	k.open = record.OpenJob{Owner: o.lease.ID(), Generation: 1, Sequence: 1}
+	l := o.opts.Layout
 	op := jobstore.JobOp(l, k.id, rows.Txn{
 		If: []rows.Condition{{Key: l.JobKey(k.id)}},
 		Put: []rows.Row{
-			{Key: l.JobKey(k.id), Value: k.encodedRecord}, {Key: l.OpenKey(k.id), Value: b.encode(k.open)},
+			{Key: l.JobKey(k.id), Value: k.encodedRecord}, {Key: l.OpenKey(k.id), Value: o.encode(k.open)},
 		},
 	})
 	op.GiveUpAt, k.encodedRecord = k.acceptDeadline, nil
-	b.startWrite(op, func(now time.Time, r jobstore.Result) { b.handleAccepted(now, k, r) })
-	if b.opts.Without.Has(rule.StoreFirst) {
-		k.callers.answerAll(b.callers, acceptedAnswer)
+	o.startWrite(op, func(now time.Time, r jobstore.Result) { o.handleAccepted(now, k, r) })
+	if o.opts.Without.Has(rule.StoreFirst) {
+		k.callers.answerAll(o.callers, acceptedAnswer)
 	}
 }
 
-// handleAccepted handles the end of the write of a job's rows.
-func (b *Owner) handleAccepted(now time.Time, k *keptJob, r jobstore.Result) {
-	if b.jobs[k.id] != k {
-		return // the lease was lost meanwhile; whoever takes it over finds the job
+// handleAccepted handles the result of the write of a new job's rows.
+func (o *Owner) handleAccepted(now time.Time, k *keptJob, r jobstore.Result) {
+	if o.jobs[k.id] != k {
+		return // the lease was lost meanwhile; the entry that takes it over finds the job
 	}
 	switch {
 	case r.Outcome == jobstore.Done:
-		b.startAccepted(now, k, r.Version)
+		o.startAccepted(now, k, r.Version)
 	case r.Outcome == jobstore.Refused:
-		delete(b.jobs, k.id)
-		k.callers.answerAll(b.callers, b.refuse(k, "store_unavailable"))
-		k.cancellers.answerAll(b.callers, noSuchJobAnswer)
+		delete(o.jobs, k.id)
+		k.callers.answerAll(o.callers, o.refuse(k, "store_unavailable"))
+		k.cancellers.answerAll(o.callers, noSuchJobAnswer)
 	default:
-		if there := r.Stored(b.opts.Log); there.IsOpenAs(k.open) {
-			b.startAccepted(now, k, there.Version)
+		if stored := r.Stored(o.opts.Log); stored.IsOpenAs(k.open) {
+			o.startAccepted(now, k, stored.Version)
 			return
 		}
-		// Another entry has the job, or it has ended.
-		delete(b.jobs, k.id)
-		k.callers.answerAll(b.callers, acceptedAnswer)
-		k.cancellers.answerAll(b.callers, dispatch.Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Conflict})
+		// Another entry owns the job, or the job has ended.
+		delete(o.jobs, k.id)
+		k.callers.answerAll(o.callers, acceptedAnswer)
+		k.cancellers.answerAll(o.callers, dispatch.Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Conflict})
 	}
 }
 
-// begin lets a job that is stored run.
-func (b *Owner) startAccepted(now time.Time, k *keptJob, v rows.Version) {
-	b.logEvent(logrus.InfoLevel, "job_accepted", logrus.Fields{"job": k.id, "request": k.sender, "route": k.record.Route.Name, "tasks": k.record.Spec.TaskCount()})
+// startAccepted answers the callers of a job that is stored, and runs the job.
+func (o *Owner) startAccepted(now time.Time, k *keptJob, v rows.Version) {
+	o.logEvent(logrus.InfoLevel, "job_accepted", logrus.Fields{
+		"job": k.id, "request": k.requestID, "route": k.record.Route.Name, "tasks": k.record.Spec.TaskCount(),
+	})
 	k.version = v
-	k.callers.answerAll(b.callers, acceptedAnswer)
+	k.callers.answerAll(o.callers, acceptedAnswer)
 	if len(k.cancellers) > 0 {
 		k.phase = running
-		b.endJob(now, k, verdict.Cancelled)
+		o.endJob(now, k, verdict.Cancelled)
 		return
 	}
-	b.submitToTable(now, k)
+	o.submitToTable(now, k)
 }
 
-// run hands a job to the table.
-func (b *Owner) submitToTable(now time.Time, k *keptJob) {
+// submitToTable submits a job to the dispatch table, with the progress that is known of it.
+func (o *Owner) submitToTable(now time.Time, k *keptJob) {
 	k.phase = running
 	known := &dispatch.KeptState{
 		Done: make(map[job.TaskID]bool), Failures: make(map[job.TaskID]int), Checkpoints: make(map[job.TaskID]string),
@@ -135,57 +138,59 @@
 	for _, c := range k.open.Checkpoints {
 		known.Checkpoints[job.TaskID{Job: k.id, Step: c.Step, Index: c.Index}] = c.Text
 	}
-	b.table.Submit(now, dispatch.Request{Job: k.id, Spec: &k.record.Spec, Route: k.record.Route, RequestID: k.sender, Kept: known})
+	o.table.Submit(now, dispatch.Request{Job: k.id, Spec: &k.record.Spec, Route: k.record.Route, RequestID: k.requestID, Kept: known})
 }
 
-// unreadable logs a row that can't be decoded.
-func (b *Owner) logUnreadable(err error) { record.LogUnreadable(b.opts.Log, err) }
+// logUnreadable logs the error of a row that can't be decoded; a nil error is not logged.
+func (o *Owner) logUnreadable(err error) { record.LogUnreadable(o.opts.Log, err) }
 
-// refused is the answer to a job that was not stored and never will be.
-func (b *Owner) refuse(k *keptJob, why string) dispatch.Answer {
-	b.logEvent(logrus.InfoLevel, "job_not_accepted", logrus.Fields{"job": k.id, "request": k.sender, "why": why})
+// refuse logs a job that was not stored and never will be, and returns the answer for its callers.
+func (o *Owner) refuse(k *keptJob, why string) dispatch.Answer {
+	o.logEvent(logrus.InfoLevel, "job_not_accepted", logrus.Fields{"job": k.id, "request": k.requestID, "why": why})
 	return dispatch.Answer{State: verdict.Refused, Verdict: verdict.NotRun, Reason: verdict.Overloaded, RetryAfter: refusedRetryAfter}
 }
 
-// giveUp answers callers of a job that is not stored in time. Once a write is under way, nothing is promised.
-func (b *Owner) expireCallers(now time.Time, k *keptJob) {
+// expireCallers answers callers of a job that was not stored in time. The job is refused if its write has not started. Once
+// the write has started, the job may be stored and run, and callers whose deadline has passed are told so.
+func (o *Owner) expireCallers(now time.Time, k *keptJob) {
 	if k.phase == awaitingLease && now.After(k.acceptDeadline) {
-		delete(b.jobs, k.id)
-		k.callers.answerAll(b.callers, b.refuse(k, "no_lease"))
-		k.cancellers.answerAll(b.callers, noSuchJobAnswer)
+		delete(o.jobs, k.id)
+		k.callers.answerAll(o.callers, o.refuse(k, "no_lease"))
+		k.cancellers.answerAll(o.callers, noSuchJobAnswer)
 		return
 	}
-	k.callers.answerDue(now, b.callers, dispatch.Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Deadline})
+	k.callers.answerDue(now, o.callers, dispatch.Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.Deadline})
 }
 
-// Abandon handles a caller that has gone; its job, if it was stored, runs all the same.
-func (b *Owner) Abandon(id job.ID, c dispatch.CallerID) {
-	if k := b.jobs[id]; k != nil {
+// Abandon removes a caller that has disconnected. Its job still runs if it was stored.
+func (o *Owner) Abandon(id job.ID, c dispatch.CallerID) {
+	if k := o.jobs[id]; k != nil {
 		for _, list := range []*waiters{&k.callers, &k.cancellers, &k.watchers} {
 			list.remove(c)
 		}
 	}
 }
 
-// State returns the state of a job that this entry knows, and whether it does.
-func (b *Owner) State(id job.ID) (verdict.State, bool) {
-	if s, ok := b.endedJobs.State(id); ok {
+// State returns the state of a job, and whether this entry knows the job.
+func (o *Owner) State(id job.ID) (verdict.State, bool) {
+	if s, ok := o.endedJobs.State(id); ok {
 		return s, true
 	}
-	k := b.jobs[id]
+	k := o.jobs[id]
 	switch {
 	case k == nil || k.phase != running:
 		return "", false
-	case k.finalState != "" && b.opts.Without.Has(rule.StoreFirst):
+	case k.finalState != "" && o.opts.Without.Has(rule.StoreFirst):
 		return k.finalState, true
 	}
 	return verdict.Running, true
 }
 
-// Watch answers a caller with a job's state once it has ended, or else at a deadline; it tells whether this entry owns the
-// job. A caller that asked just before the end would otherwise come back later than need be.
-func (b *Owner) Watch(id job.ID, c dispatch.CallerID, deadline time.Time) bool {
-	k := b.jobs[id]
+// Watch answers a caller with a job's state when the job ends, or at the deadline if that is earlier. It reports whether
+// this entry runs the job; if not, the caller is not answered. Without Watch, a caller that asks just before the end would
+// learn of it only at its next poll.
+func (o *Owner) Watch(id job.ID, c dispatch.CallerID, deadline time.Time) bool {
+	k := o.jobs[id]
 	if k == nil || k.phase != running {
 		return false
 	}
@@ -193,33 +198,34 @@
 	return true
 }
 
-// tellWatchers answers those whose deadline has come.
-func (b *Owner) answerDueWatchers(now time.Time, k *keptJob) {
-	k.watchers.answerDue(now, b.callers, dispatch.Answer{State: verdict.Running, Verdict: verdict.MayHaveRun})
+// answerDueWatchers answers the watchers whose deadline has passed.
+func (o *Owner) answerDueWatchers(now time.Time, k *keptJob) {
+	k.watchers.answerDue(now, o.callers, dispatch.Answer{State: verdict.Running, Verdict: verdict.MayHaveRun})
 }
 
-// Cancel ends a job that this entry owns, and tells whether it does: then the caller is answered once it is stored.
-func (b *Owner) Cancel(now time.Time, id job.ID, c dispatch.CallerID) bool {
-	if s, ok := b.endedJobs.State(id); ok {
-		b.callers.Answer(c, dispatch.Answer{State: s, Verdict: verdict.Ran})
+// Cancel cancels a job and answers the caller once that is stored. It reports whether this entry owns the job or remembers
+// its end; if not, nothing is done and the caller is not answered.
+func (o *Owner) Cancel(now time.Time, id job.ID, c dispatch.CallerID) bool {
+	if s, ok := o.endedJobs.State(id); ok {
+		o.callers.Answer(c, dispatch.Answer{State: s, Verdict: verdict.Ran})
 		return true
 	}
-	k := b.jobs[id]
+	k := o.jobs[id]
 	if k == nil || k.phase == takingOver {
 		return false
 	}
 	k.cancellers.add(c, time.Time{})
 	if k.phase == running && k.finalState == "" {
-		b.endJob(now, k, verdict.Cancelled)
+		o.endJob(now, k, verdict.Cancelled)
 	}
 	return true
 }
 
-// CancelledElsewhere handles jobs that another entry has cancelled.
-func (b *Owner) HandleRemoteCancellations(now time.Time, ids []job.ID) {
+// HandleRemoteCancellations handles jobs that another entry has cancelled.
+func (o *Owner) HandleRemoteCancellations(now time.Time, ids []job.ID) {
 	for _, id := range ids {
-		if k := b.jobs[id]; k != nil && k.phase != awaitingLease {
-			b.finishJob(now, k, verdict.Cancelled)
+		if k := o.jobs[id]; k != nil && k.phase != awaitingLease {
+			o.finishJob(now, k, verdict.Cancelled)
 		}
 	}
 }
--- a/internal/kept/owner/waiters.go
+++ b/internal/kept/owner/waiters.go
@@ -10,38 +10,38 @@
 // waiter is a caller that waits for its job to be accepted or cancelled, or to end.
 type waiter struct {
 	caller dispatch.CallerID
-	// deadline is until when it waits; zero is for as long as it takes.
+	// deadline is when the caller stops waiting; zero means never.
 	deadline time.Time
 }
 
-// waiters are the callers that wait for the same of a job.
+// waiters are callers that wait for the same event of a job.
 type waiters []waiter
 
-// add lets a caller wait until a deadline; zero is for as long as it takes.
+// add adds a caller that waits until deadline; a zero deadline means without limit.
 func (w *waiters) add(c dispatch.CallerID, deadline time.Time) { *w = append(*w, waiter{c, deadline}) }
 
-// leave lets a caller go that waits no longer.
+// remove removes a caller without answering it.
 func (w *waiters) remove(c dispatch.CallerID) {
-	*w = slices.DeleteFunc(*w, func(one waiter) bool { return one.caller == c })
+	*w = slices.DeleteFunc(*w, func(other waiter) bool { return other.caller == c })
 }
 
-// answer answers all.
+// answerAll answers all callers and removes them.
 func (w *waiters) answerAll(to dispatch.Callers, a dispatch.Answer) {
-	for _, one := range *w {
-		to.Answer(one.caller, a)
+	for _, each := range *w {
+		to.Answer(each.caller, a)
 	}
 	*w = nil
 }
 
-// answerDue answers those whose deadline has come.
+// answerDue answers and removes the callers whose deadline has passed.
 func (w *waiters) answerDue(now time.Time, to dispatch.Callers, a dispatch.Answer) {
 	var rest waiters
-	for _, one := range *w {
-		if one.deadline.IsZero() || now.Before(one.deadline) {
-			rest = append(rest, one)
+	for _, each := range *w {
+		if each.deadline.IsZero() || now.Before(each.deadline) {
+			rest = append(rest, each)
 			continue
 		}
-		to.Answer(one.caller, a)
+		to.Answer(each.caller, a)
 	}
 	*w = rest
 }
