--- a/internal/kept/acks/notes.go
+++ b/internal/kept/acks/notes.go
@@ -1,6 +1,6 @@
-// Package notes tells agents which ends of kept jobs' runs they need not withhold any more: those that are stored, and those
-// that count for nothing. Of jobs that the entry does not know, it asks the store. It has no I/O of its own; one goroutine
-// uses it.
+// Package acks acknowledges the ends of kept jobs' runs to agents, which withhold an end until it is acknowledged. An end is
+// acknowledged when it is stored, or when it is void, that is, will never be counted. For jobs that the entry does not know,
+// the package looks up the answer in the store. It does no I/O itself; one goroutine uses it.
 package acks
 
 import (
@@ -13,15 +13,15 @@
 	"hillreel/internal/kept/record"
 )
 
-// Agents sends to agents.
+// Agents sends messages to agents.
 type Agents interface {
-	// Noted tells that ends are stored or, with void, that they count for nothing.
+	// Acknowledge tells an agent that the ends of runs are stored or, if void is true, that they will never be counted.
 	Acknowledge(agent ident.Incarnation, runs []fleet.RunRef, void bool)
 }
 
 // Store reads rows.
 type Store interface {
-	// Look reads the rows of one job; Looked follows.
+	// LookUp starts reading the rows of one job. The result is passed to Sender.HandleLookUp.
 	LookUp(id job.ID)
 }
 
@@ -31,28 +31,28 @@
 	Run   fleet.RunRef
 }
 
-// Notes holds the ends that the store is asked about.
+// Sender sends acknowledgements, and holds the ends whose jobs are being looked up in the store.
 type Sender struct {
 	agents Agents
 	store  Store
 	log    *logrus.Entry
-	// unknown are ends of jobs that the store is being asked about.
+	// pending are the ends of the jobs that are being looked up.
 	pending map[job.ID][]End
 }
 
-// New returns Notes without ends.
+// New returns a Sender without pending ends.
 func New(a Agents, s Store, log *logrus.Entry) *Sender {
 	return &Sender{agents: a, store: s, log: log, pending: make(map[job.ID][]End)}
 }
 
-// Stored tells agents that ends are stored.
-func (n *Sender) AckStored(ends ...End) { n.send(ends, false) }
+// AckStored tells agents that ends are stored.
+func (s *Sender) AckStored(ends ...End) { s.send(ends, false) }
 
-// Void tells an agent that an end counts for nothing.
-func (n *Sender) AckVoid(e End) { n.send([]End{e}, true) }
+// AckVoid tells an agent that an end will never be counted.
+func (s *Sender) AckVoid(e End) { s.send([]End{e}, true) }
 
-// tell sends one word to each agent.
-func (n *Sender) send(ends []End, void bool) {
+// send sends one message to each agent that reported any of the ends.
+func (s *Sender) send(ends []End, void bool) {
 	var agents []ident.Incarnation
 	runs := make(map[ident.Incarnation][]fleet.RunRef)
 	for _, e := range ends {
@@ -62,35 +62,35 @@
 		runs[e.Agent] = append(runs[e.Agent], e.Run)
 	}
 	for _, a := range agents {
-		n.agents.Acknowledge(a, runs[a], void)
+		s.agents.Acknowledge(a, runs[a], void)
 	}
 }
 
-// LookUp asks the store about the job of an end that this entry does not know.
-func (n *Sender) LookUp(e End) {
+// LookUp looks up the job of an end in the store, for a job that the entry does not know. A look-up in progress is not repeated.
+func (s *Sender) LookUp(e End) {
 	id := e.Run.Task.Job
-	if n.pending[id] == nil {
-		n.store.LookUp(id)
+	if s.pending[id] == nil {
+		s.store.LookUp(id)
 	}
-	n.pending[id] = append(n.pending[id], e)
+	s.pending[id] = append(s.pending[id], e)
 }
 
-// Looked handles what the store has of a job that was looked up.
-func (n *Sender) HandleLookUp(id job.ID, open, ended rows.Row, err error) {
-	ends := n.pending[id]
-	delete(n.pending, id)
+// HandleLookUp handles the stored rows of a job that was looked up. The ends of an open job are not acknowledged here.
+func (s *Sender) HandleLookUp(id job.ID, open, ended rows.Row, err error) {
+	ends := s.pending[id]
+	delete(s.pending, id)
 	if err != nil || open.Version != 0 {
-		return // agents tell the end again, and its job's owner will hear of it
+		return // agents report the end again, and do so to the owner of the job
 	}
-	var how record.EndedJob
+	var endedJob record.EndedJob
 	if ended.Version != 0 {
-		if how, err = record.Decode[record.EndedJob](ended); err != nil {
-			record.LogUnreadable(n.log, err)
+		if endedJob, err = record.Decode[record.EndedJob](ended); err != nil {
+			record.LogUnreadable(s.log, err)
 			return
 		}
 	}
 	for _, e := range ends {
-		counted := how.Counted(e.Run.Task.Step, e.Run.Task.Index, e.Run.Run)
-		n.send([]End{e}, !counted)
+		counted := endedJob.Counted(e.Run.Task.Step, e.Run.Task.Index, e.Run.Run)
+		s.send([]End{e}, !counted)
 	}
 }
--- a/internal/kept/acks/notes_test.go
+++ b/internal/kept/acks/notes_test.go
@@ -18,14 +18,14 @@
 
 const jobID = job.ID(7)
 
-// word is what an agent was told.
+// ack is one acknowledgement that was sent to an agent.
 type ack struct {
 	Agent ident.Incarnation
 	Runs  []fleet.RunRef
 	Void  bool
 }
 
-// peers are the agents and the store; they note what they are told and asked.
+// peers stands in for the agents and the store. It records acknowledgements and look-ups.
 type peers struct {
 	acks    []ack
 	lookups []job.ID
@@ -41,7 +41,7 @@
 	return fleet.RunRef{Task: job.TaskID{Job: jobID, Index: index}, Run: 1}
 }
 
-// TestStored: each agent is told once of all ends that are its own.
+// TestStored checks that each agent gets one message with all of its own ends, and none of another agent's.
 func TestStored(t *testing.T) {
 	p := &peers{}
 	n := acks.New(p, p, logs.Discard())
@@ -54,7 +54,8 @@
 	})
 }
 
-// TestLookUp: the store is asked once of a job, and its word decides what the job's ends are.
+// TestLookUp checks that a job is looked up only once for several ends, and that its stored rows decide whether the ends are
+// acknowledged as stored or as void. A wrong void would make an agent discard an end that counts.
 func TestLookUp(t *testing.T) {
 	complete := rows.Row{Version: 2, Value: record.EncodeLogged(logs.Discard(), record.EndedJob{State: verdict.Complete})}
 	failed := rows.Row{Version: 2, Value: record.EncodeLogged(logs.Discard(), record.EndedJob{State: verdict.Failed})}
@@ -66,10 +67,10 @@
 	}{
 		{"complete", rows.Row{}, complete, nil, []ack{{1, []fleet.RunRef{run(0)}, false}, {1, []fleet.RunRef{run(1)}, false}}},
 		{"failed", rows.Row{}, failed, nil, []ack{{1, []fleet.RunRef{run(0)}, true}, {1, []fleet.RunRef{run(1)}, true}}},
-		{"forgotten", rows.Row{}, rows.Row{}, nil, []ack{{1, []fleet.RunRef{run(0)}, true}, {1, []fleet.RunRef{run(1)}, true}}},
+		{"deleted", rows.Row{}, rows.Row{}, nil, []ack{{1, []fleet.RunRef{run(0)}, true}, {1, []fleet.RunRef{run(1)}, true}}},
 		{"open", rows.Row{Version: 1}, rows.Row{}, nil, nil},
-		{"not readable", rows.Row{}, rows.Row{Version: 2, Value: []byte("x")}, nil, nil},
-		{"no answer", rows.Row{}, rows.Row{}, errors.New("away"), nil},
+		{"row that can't be decoded", rows.Row{}, rows.Row{Version: 2, Value: []byte("x")}, nil, nil},
+		{"no answer", rows.Row{}, rows.Row{}, errors.New("store unavailable"), nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := &peers{}
@@ -80,7 +81,7 @@
 			n.HandleLookUp(jobID, test.open, test.ended, test.err)
 			qt.Assert(t, p.acks, qt.DeepEquals, test.want)
 			n.LookUp(acks.End{Agent: 1, Run: run(0)})
-			qt.Assert(t, p.lookups, qt.HasLen, 2) // it is asked anew
+			qt.Assert(t, p.lookups, qt.HasLen, 2) // the job is looked up again
 		})
 	}
 }
--- a/internal/kept/inquiry/inquiry.go
+++ b/internal/kept/inquiry/inquiry.go
@@ -1,5 +1,5 @@
-// Package inquiry asks all agents for ends of jobs that were taken over, and tells when they have answered. It is a state
-// machine without I/O and without a clock of its own; one goroutine uses it.
+// Package inquiry asks all agents for the ends of jobs that were taken over, and calls back when all have answered. It is a
+// state machine without I/O and without its own clock; one goroutine uses it.
 package inquiry
 
 import (
@@ -10,42 +10,43 @@
 	"hillreel/internal/core/rule"
 )
 
-// Agents sends to agents.
+// Agents sends messages to agents.
 type Agents interface {
-	// Linked lists the agents that are linked.
+	// Linked lists the agents that have a link to this entry.
 	Linked() []ident.Incarnation
+	// Ask asks an agent for the ends of jobs. number identifies the query in the agent's answer.
 	Ask(agent ident.Incarnation, number uint64, jobs []job.ID)
 }
 
-// Inquiry holds the questions that are not answered yet.
+// Inquiry holds the queries that are not answered yet.
 type Inquiry struct {
 	agents Agents
-	// limit is how long an answer is waited for.
+	// timeout is how long a query waits for answers.
 	timeout    time.Duration
 	without    rule.Set
 	queries    []*query
 	lastNumber uint64
 }
 
-// question is one question to all agents.
+// query is one query to all agents.
 type query struct {
 	number  uint64
 	started time.Time
-	// unanswered are the agents whose answers are waited for.
+	// unanswered holds the agents that have not answered yet.
 	unanswered map[ident.Incarnation]bool
 	onComplete func(now time.Time)
 }
 
-// New returns an Inquiry without questions. An agent that does not answer for settle is not waited for any longer: nothing
-// of what it had still runs.
+// New returns an Inquiry without queries. A query waits for an agent no longer than settle: by then, no run that the agent
+// had is running any more.
 func New(a Agents, settle time.Duration, without rule.Set) *Inquiry {
 	return &Inquiry{agents: a, timeout: settle, without: without}
 }
 
-// Ask asks all agents about some jobs; then is called once, when all have answered or are not waited for any longer.
-func (q *Inquiry) Ask(now time.Time, jobs []job.ID, then func(now time.Time)) {
+// Ask asks all agents about jobs. onComplete is called once, when each agent has answered, was lost, or has timed out.
+func (q *Inquiry) Ask(now time.Time, jobs []job.ID, onComplete func(now time.Time)) {
 	q.lastNumber++
-	next := &query{number: q.lastNumber, started: now, unanswered: make(map[ident.Incarnation]bool), onComplete: then}
+	next := &query{number: q.lastNumber, started: now, unanswered: make(map[ident.Incarnation]bool), onComplete: onComplete}
 	if !q.without.Has(rule.AskFirst) {
 		for _, a := range q.agents.Linked() {
 			next.unanswered[a] = true
@@ -56,38 +57,38 @@
 	q.Tick(now)
 }
 
-// Answered handles an agent's word that it has told all ends that a question is about.
+// HandleAnswer handles an agent's message that it has reported all ends that query number asked for.
 func (q *Inquiry) HandleAnswer(now time.Time, agent ident.Incarnation, number uint64) {
-	for _, o := range q.queries {
-		if o.number == number {
-			delete(o.unanswered, agent)
+	for _, open := range q.queries {
+		if open.number == number {
+			delete(open.unanswered, agent)
 		}
 	}
 	q.Tick(now)
 }
 
-// AgentLost handles an agent that is out of hearing: it can't answer any more.
+// HandleAgentLost handles an agent that can't be reached, and so can't answer any more.
 func (q *Inquiry) HandleAgentLost(now time.Time, agent ident.Incarnation) {
-	for _, o := range q.queries {
-		delete(o.unanswered, agent)
+	for _, open := range q.queries {
+		delete(open.unanswered, agent)
 	}
 	q.Tick(now)
 }
 
-// Tick ends the questions that all agents have answered, and those that have waited for long enough.
+// Tick completes the queries that all agents have answered, and those that have timed out.
 func (q *Inquiry) Tick(now time.Time) {
 	var rest []*query
-	open := q.queries
-	q.queries = nil // what follows from an answer may ask again
-	for _, o := range open {
-		if len(o.unanswered) > 0 && now.Sub(o.started) < q.timeout {
-			rest = append(rest, o)
+	all := q.queries
+	q.queries = nil // onComplete may call Ask
+	for _, open := range all {
+		if len(open.unanswered) > 0 && now.Sub(open.started) < q.timeout {
+			rest = append(rest, open)
 			continue
 		}
-		o.onComplete(now)
+		open.onComplete(now)
 	}
 	q.queries = append(rest, q.queries...)
 }
 
-// Clear forgets all questions; nobody hears of their answers.
+// Clear removes all queries without calling their onComplete.
 func (q *Inquiry) Clear() { q.queries = nil }
--- a/internal/kept/inquiry/inquiry_test.go
+++ b/internal/kept/inquiry/inquiry_test.go
@@ -17,7 +17,7 @@
 	settle         = time.Second
 )
 
-// agents are two that are linked; it notes the questions to each.
+// agents stands in for two linked agents. It records the numbers of the queries to each.
 type agents map[ident.Incarnation][]uint64
 
 func (a agents) Linked() []ident.Incarnation { return []ident.Incarnation{agentA, agentB} }
@@ -26,7 +26,8 @@
 	a[agent] = append(a[agent], number)
 }
 
-// TestEndOfQuestion: a question ends once, when each agent has answered it, is out of hearing, or was silent for too long.
+// TestQueryCompletion checks that a query completes exactly once: when each agent has answered it, was lost, or has timed
+// out. A query that completes too early lets a job run again although an end of it is still to come.
 func TestQueryCompletion(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, test := range []struct {
@@ -37,7 +38,7 @@
 	}{
 		{"nothing", nil, func(*inquiry.Inquiry) {}, 0},
 		{"one answers", nil, func(q *inquiry.Inquiry) { q.HandleAnswer(start, agentA, 1) }, 0},
-		{"another question is answered", nil, func(q *inquiry.Inquiry) {
+		{"another query is answered", nil, func(q *inquiry.Inquiry) {
 			q.HandleAnswer(start, agentA, 2)
 			q.HandleAnswer(start, agentB, 2)
 		}, 0},
@@ -50,13 +51,13 @@
 			q.HandleAnswer(start, agentA, 1)
 			q.HandleAgentLost(start, agentB)
 		}, 1},
-		{"just before the limit", nil, func(q *inquiry.Inquiry) { q.Tick(start.Add(settle - 1)) }, 0},
-		{"at the limit", nil, func(q *inquiry.Inquiry) { q.Tick(start.Add(settle)) }, 1},
-		{"forgotten", nil, func(q *inquiry.Inquiry) {
+		{"just before the timeout", nil, func(q *inquiry.Inquiry) { q.Tick(start.Add(settle - 1)) }, 0},
+		{"at the timeout", nil, func(q *inquiry.Inquiry) { q.Tick(start.Add(settle)) }, 1},
+		{"cleared", nil, func(q *inquiry.Inquiry) {
 			q.Clear()
 			q.Tick(start.Add(settle))
 		}, 0},
-		{"nobody is asked", rule.Without(rule.AskFirst), func(*inquiry.Inquiry) {}, 1},
+		{"rule ask_first disabled", rule.Without(rule.AskFirst), func(*inquiry.Inquiry) {}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			ends := 0
@@ -68,7 +69,8 @@
 	}
 }
 
-// TestAskAgain: what follows from an answer may ask again; that is a question of its own.
+// TestAskFromCallback guards against a query that is lost, or completed by an answer to the first one, because it was started
+// by the first query's onComplete.
 func TestAskFromCallback(t *testing.T) {
 	now, asked, second := time.Unix(1000, 0), agents{}, false
 	q := inquiry.New(asked, settle, nil)
--- a/internal/kept/recent/recent.go
+++ b/internal/kept/recent/recent.go
@@ -1,4 +1,4 @@
-// Package recent remembers jobs whose end this entry has stored, for a while after it.
+// Package recent remembers the jobs whose end this entry has stored, for a limited time after the end.
 package recent
 
 import (
@@ -11,17 +11,17 @@
 )
 
 const (
-	// keepFor is how long an ended job is remembered; callers ask for it soon after its end, and then the store is
-	// asked. Ends of its runs may come late for as long as agents withhold them.
+	// retention is how long an ended job is remembered. Callers ask for a job soon after its end; later queries go to the
+	// store. Ends of its runs may still arrive for as long as agents withhold them.
 	retention = 60 * time.Second
-	// maxJobs bounds them: 300 bytes each.
+	// maxJobs bounds the remembered jobs, of 300 bytes each.
 	maxJobs = 20_000
 )
 
-// Jobs are the jobs that are remembered.
+// Jobs holds the remembered jobs.
 type Jobs struct {
 	byID map[job.ID]*endedJob
-	// order lists them from the oldest on.
+	// oldestFirst lists the jobs in the order in which they ended.
 	oldestFirst []*endedJob
 }
 
@@ -30,14 +30,14 @@
 	id      job.ID
 	endedAt time.Time
 	state   verdict.State
-	// ends are those that were counted in its progress.
+	// ends are the ends that were counted in the job's progress.
 	ends record.Ends
 }
 
-// New returns Jobs without any.
+// New returns an empty Jobs.
 func New() *Jobs { return &Jobs{byID: make(map[job.ID]*endedJob)} }
 
-// Add remembers a job with the ends that were counted, and forgets old ones.
+// Add remembers a job with its counted ends, and removes the jobs that are too old or exceed maxJobs.
 func (r *Jobs) Add(now time.Time, id job.ID, s verdict.State, ends record.Ends) {
 	e := &endedJob{id: id, endedAt: now, state: s, ends: ends}
 	r.byID[id] = e
@@ -51,7 +51,7 @@
 	}
 }
 
-// Has tells whether a job is remembered.
+// Has reports whether a job is remembered.
 func (r *Jobs) Has(id job.ID) bool { return r.byID[id] != nil }
 
 // State returns a job's state, and whether it is remembered.
@@ -63,7 +63,7 @@
 	return e.state, true
 }
 
-// Counted tells whether the end of a run was counted in its job's progress.
+// Counted reports whether the end of a run was counted in its job's progress. It is false if the job is not remembered.
 func (r *Jobs) Counted(run fleet.RunRef) bool {
 	e := r.byID[run.Task.Job]
 	return e != nil && e.ends.Contains(run.Task.Step, run.Task.Index, run.Run)
