--- a/internal/kept/jobstore/job_test.go
+++ b/internal/kept/jobstore/job_test.go
@@ -13,7 +13,8 @@
 	"hillreel/internal/kept/record"
 )
 
-// TestPresent: after a conflict, the rows that a write looked at tell whether an attempt before was done.
+// TestStored guards against an owner that gives up its own job because it takes an earlier attempt of its write, whose answer
+// was lost, for the write of another entry.
 func TestStored(t *testing.T) {
 	const id = job.ID(7)
 	layout := record.Layout{Parts: 2}
@@ -27,12 +28,12 @@
 		version     rows.Version
 		state       verdict.State
 	}{
-		{"it is there", rows.Row{Version: 5, Value: value(written)}, rows.Row{}, true, 5, ""},
+		{"the same write", rows.Row{Version: 5, Value: value(written)}, rows.Row{}, true, 5, ""},
 		{"an earlier write", rows.Row{Version: 4, Value: value(record.OpenJob{Owner: "own-0", Sequence: 2})}, rows.Row{}, false, 4, ""},
 		{"another owner", rows.Row{Version: 5, Value: value(record.OpenJob{Owner: "x-0", Sequence: 3})}, rows.Row{}, false, 5, ""},
 		{"ended", rows.Row{}, ended, false, 0, verdict.Failed},
-		{"nothing", rows.Row{}, rows.Row{}, false, 0, ""},
-		{"not readable", rows.Row{Version: 5, Value: []byte("x")}, rows.Row{Version: 6, Value: []byte("x")}, false, 5, ""},
+		{"no rows", rows.Row{}, rows.Row{}, false, 0, ""},
+		{"rows that can't be decoded", rows.Row{Version: 5, Value: []byte("x")}, rows.Row{Version: 6, Value: []byte("x")}, false, 5, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			op := jobstore.JobOp(layout, id, rows.Txn{})
@@ -42,12 +43,12 @@
 			for _, k := range op.ReadOnConflict {
 				r.Found = append(r.Found, stored[k])
 			}
-			there := r.Stored(logs.Discard())
-			qt.Assert(t, there.IsOpenAs(written), qt.Equals, test.has)
-			qt.Assert(t, there.Version, qt.Equals, test.version)
-			qt.Assert(t, there.Ended != nil, qt.Equals, test.state != "")
-			if there.Ended != nil {
-				qt.Assert(t, there.Ended.State, qt.Equals, test.state)
+			found := r.Stored(logs.Discard())
+			qt.Assert(t, found.IsOpenAs(written), qt.Equals, test.has)
+			qt.Assert(t, found.Version, qt.Equals, test.version)
+			qt.Assert(t, found.Ended != nil, qt.Equals, test.state != "")
+			if found.Ended != nil {
+				qt.Assert(t, found.Ended.State, qt.Equals, test.state)
 			}
 		})
 	}
--- a/internal/kept/jobstore/lane.go
+++ b/internal/kept/jobstore/lane.go
@@ -12,222 +12,223 @@
 	"hillreel/internal/core/rows"
 )
 
-// The platform takes at most 100 entries and 1 MB in a transaction; a row's value is sent in base64, a third longer.
+// The platform accepts at most 100 entries and 1 MB in a transaction. maxTxnBytes is lower because a row's value is sent in
+// base64, which is a third longer.
 const (
 	maxTxnEntries = 100
 	maxTxnBytes   = 700_000
 )
 
 // retryPause is the pause after a call that was refused or could not be made: a twentieth of the time in which entries must
-// be back after an outage. One that got no answer was waited for already.
+// recover after an outage. unansweredPause is shorter because a call without an answer has already waited for its timeout.
 const (
 	retryPause      = 100 * time.Millisecond
 	unansweredPause = 10 * time.Millisecond
 )
 
-// lane carries out the writes of one part, one transaction at a time.
+// partWriter carries out the writes to one part, one transaction at a time.
 type partWriter struct {
 	writer *Writer
-	// queue is guarded by the ledger's mu.
+	// queue is guarded by writer.mu.
 	queue []*pendingOp
 	wake  chan struct{}
 }
 
-// attempt is a write that has not ended.
+// pendingOp is a write that has no result yet.
 type pendingOp struct {
 	Op
-	// doubt is true once a try got no answer.
+	// uncertain is true once an attempt got no answer.
 	uncertain bool
 }
 
-// nudge lets the lane look at its queue.
-func (n *partWriter) signal() {
+// signal wakes the partWriter to check its queue.
+func (p *partWriter) signal() {
 	select {
-	case n.wake <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run carries out writes until the ledger stops.
-func (n *partWriter) run() {
+// run carries out writes until the Writer stops.
+func (p *partWriter) run() {
 	for {
 		select {
-		case <-n.writer.ctx.Done():
+		case <-p.writer.ctx.Done():
 			return
-		case <-n.wake:
+		case <-p.wake:
 		}
-		for group := n.nextGroup(); len(group) > 0; group = n.nextGroup() {
-			n.commit(group)
+		for group := p.nextGroup(); len(group) > 0; group = p.nextGroup() {
+			p.commit(group)
 		}
 	}
 }
 
-// take returns the writes that go into the next transaction. While some are in doubt, no others go with them: of those it
-// stays certain that nothing was done.
-func (n *partWriter) nextGroup() []*pendingOp {
-	n.writer.mu.Lock()
-	defer n.writer.mu.Unlock()
+// nextGroup removes and returns the writes of the next transaction. Uncertain writes are not grouped with others, so that it
+// stays certain that nothing was done of the others.
+func (p *partWriter) nextGroup() []*pendingOp {
+	p.writer.mu.Lock()
+	defer p.writer.mu.Unlock()
 	entries, bytes, count := 0, 0, 0
-	for _, a := range n.queue {
-		if count > 0 && n.queue[0].uncertain && !a.uncertain {
+	for _, op := range p.queue {
+		if count > 0 && p.queue[0].uncertain && !op.uncertain {
 			break
 		}
-		entries += len(a.Txn.If) + len(a.Txn.Put) + len(a.Txn.Remove)
-		for _, p := range a.Txn.Put {
-			bytes += len(p.Value)
+		entries += len(op.Txn.If) + len(op.Txn.Put) + len(op.Txn.Remove)
+		for _, row := range op.Txn.Put {
+			bytes += len(row.Value)
 		}
-		if count > 0 && (entries > maxTxnEntries || bytes > maxTxnBytes || a.NoRetry) {
+		if count > 0 && (entries > maxTxnEntries || bytes > maxTxnBytes || op.NoRetry) {
 			break
 		}
 		count++
-		if a.NoRetry {
+		if op.NoRetry {
 			break
 		}
 	}
-	group := n.queue[:count:count]
-	n.queue = n.queue[count:]
+	group := p.queue[:count:count]
+	p.queue = p.queue[count:]
 	return group
 }
 
-// commit tries a group of writes as one transaction.
-func (n *partWriter) commit(group []*pendingOp) {
+// commit attempts a group of writes as one transaction.
+func (p *partWriter) commit(group []*pendingOp) {
 	var t rows.Txn
-	for _, a := range group {
-		t.If, t.Put, t.Remove = append(t.If, a.Txn.If...), append(t.Put, a.Txn.Put...), append(t.Remove, a.Txn.Remove...)
+	for _, op := range group {
+		t.If, t.Put, t.Remove = append(t.If, op.Txn.If...), append(t.Put, op.Txn.Put...), append(t.Remove, op.Txn.Remove...)
 	}
-	began, limit := boottime.Now(), n.writer.timeout()
-	ctx, cancel := context.WithTimeout(n.writer.ctx, limit)
+	started, timeout := boottime.Now(), p.writer.timeout()
+	ctx, cancel := context.WithTimeout(p.writer.ctx, timeout)
 	defer cancel()
-	version, err := n.writer.store.Commit(ctx, t)
-	n.writer.recordCall(began, limit, err == nil || errors.Is(err, rows.ErrConflict))
+	version, err := p.writer.store.Commit(ctx, t)
+	p.writer.recordCall(started, timeout, err == nil || errors.Is(err, rows.ErrConflict))
 	switch {
-	case n.writer.ctx.Err() != nil:
+	case p.writer.ctx.Err() != nil:
 	case err == nil:
-		for _, a := range group {
-			n.writer.onResult(Result{ID: a.ID, Outcome: Done, Version: version})
+		for _, op := range group {
+			p.writer.onResult(Result{ID: op.ID, Outcome: Done, Version: version})
 		}
 	case errors.Is(err, rows.ErrConflict):
-		n.handleConflict(group)
+		p.handleConflict(group)
 	default:
-		n.handleFailure(group, err)
+		p.handleFailure(group, err)
 	}
 }
 
-// failed handles writes of which nothing is known, or which the store refused.
-func (n *partWriter) handleFailure(group []*pendingOp, err error) {
+// handleFailure handles a group of writes that the store refused, or whose outcome is unknown.
+func (p *partWriter) handleFailure(group []*pendingOp, err error) {
 	refused := errors.Is(err, rows.ErrRefused)
-	n.writer.log.WithFields(logrus.Fields{"writes": len(group), "refused": refused, "error": err.Error()}).Info("job_rows_not_written")
-	var again []*pendingOp
-	for _, a := range group {
-		a.uncertain = a.uncertain || !refused
+	p.writer.log.WithFields(logrus.Fields{"writes": len(group), "refused": refused, "error": err.Error()}).Info("job_rows_not_written")
+	var retries []*pendingOp
+	for _, op := range group {
+		op.uncertain = op.uncertain || !refused
 		switch {
-		case !a.uncertain && (a.NoRetry || !a.GiveUpAt.IsZero() && boottime.Now().After(a.GiveUpAt)):
-			n.writer.onResult(Result{ID: a.ID, Outcome: Refused})
-		case a.NoRetry:
-			n.writer.onResult(Result{ID: a.ID, Outcome: Uncertain})
+		case !op.uncertain && (op.NoRetry || !op.GiveUpAt.IsZero() && boottime.Now().After(op.GiveUpAt)):
+			p.writer.onResult(Result{ID: op.ID, Outcome: Refused})
+		case op.NoRetry:
+			p.writer.onResult(Result{ID: op.ID, Outcome: Uncertain})
 		default:
-			again = append(again, a)
+			retries = append(retries, op)
 		}
 	}
-	n.expireQueued()
+	p.expireQueued()
 	if refused {
-		n.sleep(retryPause)
+		p.sleep(retryPause)
 	} else {
-		n.sleep(unansweredPause)
+		p.sleep(unansweredPause)
 	}
-	n.requeue(again)
+	p.requeue(retries)
 }
 
-// requeue lets writes be tried again, before all others.
-func (n *partWriter) requeue(again []*pendingOp) {
-	n.writer.mu.Lock()
-	n.queue = append(again, n.queue...)
-	n.writer.mu.Unlock()
-	n.signal()
+// requeue puts writes back at the front of the queue.
+func (p *partWriter) requeue(retries []*pendingOp) {
+	p.writer.mu.Lock()
+	p.queue = append(retries, p.queue...)
+	p.writer.mu.Unlock()
+	p.signal()
 }
 
-// expire gives up the writes that wait and need not be begun any more.
-func (n *partWriter) expireQueued() {
-	n.writer.mu.Lock()
-	var rest, over []*pendingOp
-	for _, a := range n.queue {
-		if !a.uncertain && !a.GiveUpAt.IsZero() && boottime.Now().After(a.GiveUpAt) {
-			over = append(over, a)
+// expireQueued refuses the queued writes whose GiveUpAt has passed and of which nothing was done.
+func (p *partWriter) expireQueued() {
+	p.writer.mu.Lock()
+	var rest, expired []*pendingOp
+	for _, op := range p.queue {
+		if !op.uncertain && !op.GiveUpAt.IsZero() && boottime.Now().After(op.GiveUpAt) {
+			expired = append(expired, op)
 		} else {
-			rest = append(rest, a)
+			rest = append(rest, op)
 		}
 	}
-	n.queue = rest
-	n.writer.mu.Unlock()
-	for _, a := range over {
-		n.writer.onResult(Result{ID: a.ID, Outcome: Refused})
+	p.queue = rest
+	p.writer.mu.Unlock()
+	for _, op := range expired {
+		p.writer.onResult(Result{ID: op.ID, Outcome: Refused})
 	}
 }
 
-// conflict handles a group of writes the condition of one of which does not hold. Each is looked into by itself, all at
-// once: those whose condition holds are tried again.
-func (n *partWriter) handleConflict(group []*pendingOp) {
+// handleConflict handles a group of writes of which at least one has a condition that does not hold. The conditions of each
+// write are checked separately and in parallel. The writes whose conditions hold are attempted again.
+func (p *partWriter) handleConflict(group []*pendingOp) {
 	holds := make([]bool, len(group))
-	var all sync.WaitGroup
-	for i, a := range group {
-		all.Go(func() { holds[i] = len(group) > 1 && n.conditionsHold(a) })
+	var wg sync.WaitGroup
+	for i, op := range group {
+		wg.Go(func() { holds[i] = len(group) > 1 && p.conditionsHold(op) })
 	}
-	all.Wait()
-	var again []*pendingOp
-	for i, a := range group {
+	wg.Wait()
+	var retries []*pendingOp
+	for i, op := range group {
 		if holds[i] {
-			again = append(again, a)
+			retries = append(retries, op)
 			continue
 		}
-		all.Go(func() { n.reportConflict(a) })
+		wg.Go(func() { p.reportConflict(op) })
 	}
-	all.Wait()
-	if len(again) == len(group) {
-		// What was in the way has gone; but the next try could go as this one did.
+	wg.Wait()
+	if len(retries) == len(group) {
+		// The cause of the conflict is gone, but the next attempt of the whole group could conflict again.
 		for i := range group {
-			n.commit(group[i : i+1])
+			p.commit(group[i : i+1])
 		}
 		return
 	}
-	n.requeue(again)
+	p.requeue(retries)
 }
 
-// holds tells whether a write's conditions hold.
-func (n *partWriter) conditionsHold(a *pendingOp) bool {
-	for _, c := range a.Txn.If {
-		if n.readRow(c.Key).Version != c.Version {
+// conditionsHold reports whether a write's conditions hold.
+func (p *partWriter) conditionsHold(op *pendingOp) bool {
+	for _, c := range op.Txn.If {
+		if p.readRow(c.Key).Version != c.Version {
 			return false
 		}
 	}
 	return true
 }
 
-// tellConflict reads what is there instead of what a write expected.
-func (n *partWriter) reportConflict(a *pendingOp) {
-	r := Result{ID: a.ID, Outcome: Conflict}
-	for _, k := range a.ReadOnConflict {
-		r.Found = append(r.Found, n.readRow(k))
+// reportConflict reads the rows of ReadOnConflict and reports them with the conflict.
+func (p *partWriter) reportConflict(op *pendingOp) {
+	r := Result{ID: op.ID, Outcome: Conflict}
+	for _, k := range op.ReadOnConflict {
+		r.Found = append(r.Found, p.readRow(k))
 	}
-	if n.writer.ctx.Err() == nil {
-		n.writer.onResult(r)
+	if p.writer.ctx.Err() == nil {
+		p.writer.onResult(r)
 	}
 }
 
-// read reads a row, until the store answers or the ledger stops.
-func (n *partWriter) readRow(k rows.Key) rows.Row {
-	row, err := n.writer.store.Read(n.writer.ctx, k)
-	for err != nil && n.writer.ctx.Err() == nil {
-		n.writer.log.WithField("error", err.Error()).Info("job_rows_unreadable")
-		n.sleep(retryPause)
-		row, err = n.writer.store.Read(n.writer.ctx, k)
+// readRow reads a row. It retries until the store answers or the Writer stops.
+func (p *partWriter) readRow(k rows.Key) rows.Row {
+	row, err := p.writer.store.Read(p.writer.ctx, k)
+	for err != nil && p.writer.ctx.Err() == nil {
+		p.writer.log.WithField("error", err.Error()).Info("job_rows_unreadable")
+		p.sleep(retryPause)
+		row, err = p.writer.store.Read(p.writer.ctx, k)
 	}
 	return row
 }
 
-// pause waits between two attempts.
-func (n *partWriter) sleep(d time.Duration) {
+// sleep waits for d, or until the Writer stops.
+func (p *partWriter) sleep(d time.Duration) {
 	select {
-	case <-n.writer.ctx.Done():
+	case <-p.writer.ctx.Done():
 	case <-time.After(d):
 	}
 }
--- a/internal/kept/jobstore/ledger.go
+++ b/internal/kept/jobstore/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger reads and writes the rows of kept jobs in the platform's store. Writes of one part are grouped while
-// the one before them is under way, and repeated until it is certain whether they were done.
+// Package jobstore reads and writes the rows of kept jobs in the platform's store. Writes to one part are grouped while the
+// previous write is in progress, and are repeated until it is certain whether they were done.
 package jobstore
 
 import (
@@ -14,62 +14,62 @@
 	"hillreel/internal/core/timeout"
 )
 
-// Store is what a Ledger needs of the platform's store.
+// Store is the part of the platform's store that this package uses.
 type Store interface {
 	Commit(ctx context.Context, t rows.Txn) (rows.Version, error)
 	Read(ctx context.Context, k rows.Key) (rows.Row, error)
 	Range(ctx context.Context, r rows.Range) (rows.Page, error)
 }
 
-// OpID names one write.
+// OpID identifies one write.
 type OpID uint64
 
-// Op is one write: a transaction within one part.
+// Op is one write, a transaction within one part of the store.
 type Op struct {
 	ID   OpID
 	Part string
 	Txn  rows.Txn
-	// Look lists rows that are read when a condition does not hold.
+	// ReadOnConflict lists the rows that are read if a condition does not hold.
 	ReadOnConflict []rows.Key
-	// Until is when a write of which nothing was done yet is given up; zero is never.
+	// GiveUpAt is when the write is given up if it is certain that nothing of it was done; zero means never.
 	GiveUpAt time.Time
-	// Once: the write is tried once, whatever comes of it.
+	// NoRetry is true for a write that is tried only once, whatever its outcome.
 	NoRetry bool
 }
 
-// Outcome says what became of a write.
+// Outcome is the outcome of a write.
 type Outcome string
 
 // The outcomes.
 const (
 	Done Outcome = "done"
-	// Conflict: a condition does not hold. When an attempt before was in doubt, that one may have been done.
+	// Conflict: a condition does not hold. If the outcome of an earlier attempt is unknown, that attempt may have been done.
 	Conflict Outcome = "conflict"
-	// Refused: nothing was done, and nothing will be.
+	// Refused: the write was not done, and never will be.
 	Refused Outcome = "refused"
-	// Doubtful: it may have been done, or may be done later. Only writes that are tried once end so.
+	// Uncertain: the write may have been done, or may be done later. Only writes with NoRetry have this outcome.
 	Uncertain Outcome = "doubtful"
 )
 
-// Result is the end of a write.
+// Result is the result of a write.
 type Result struct {
 	ID      OpID
 	Outcome Outcome
-	// Version is that of the rows that were put.
+	// Version is the version of the rows that were put.
 	Version rows.Version
-	// Found are the rows of Look after a Conflict; one that is not there has version zero.
+	// Found holds the rows of ReadOnConflict after a Conflict, in the same order. A row that does not exist has version zero.
 	Found []rows.Row
 }
 
-// How long an answer is waited for: a write usually takes 10 ms. A lost answer holds up all writes of its part, and to
-// take a slow one for a lost one only repeats a write that has its conditions.
+// The timeout of a write, which usually takes 10 ms. A lost answer delays all writes to its part, so the timeout is short. A
+// timeout that is too short does no harm: it repeats a write whose conditions prevent it from being done twice.
 const (
 	minTimeout    = 50 * time.Millisecond
 	maxTimeout    = time.Second
 	timeoutFactor = 5
 )
 
-// Ledger carries out writes.
+// Writer carries out writes.
 type Writer struct {
 	store    Store
 	onResult func(Result)
@@ -80,75 +80,77 @@
 
 	mu    sync.Mutex
 	parts map[string]*partWriter
-	// patience is how long an answer to a write is waited for.
-	patience timeout.Adaptive
-	// silentSince is from when on no write was answered but by refusals, though some were tried; zero is not.
+	// callTimeout determines the timeout of a write from the durations of earlier calls.
+	callTimeout timeout.Adaptive
+	// unansweredSince is the start of the first write since which all writes were refused or not answered. It is zero if
+	// the last write was answered.
 	unansweredSince time.Time
 }
 
-// awayAfter is how long the store may be silent before new writes are not even begun: a call's own limit is a second.
+// unavailableAfter is how long writes may fail before the store counts as unavailable and new jobs are refused without a
+// write. It equals maxTimeout, the longest timeout of one call.
 const unavailableAfter = time.Second
 
-// Away tells whether the store has answered no write for a while, or refused all.
-func (l *Writer) Unavailable() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.unansweredSince.IsZero() && boottime.Since(l.unansweredSince) > unavailableAfter
+// Unavailable reports whether all writes were refused or not answered for longer than unavailableAfter.
+func (w *Writer) Unavailable() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return !w.unansweredSince.IsZero() && boottime.Since(w.unansweredSince) > unavailableAfter
 }
 
-// limit is how long the next answer is waited for.
-func (l *Writer) timeout() time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.patience.Limit()
+// timeout returns the timeout of the next write.
+func (w *Writer) timeout() time.Duration {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.callTimeout.Limit()
 }
 
-// ReadTook takes in how long the store has taken to answer a reading: when it is slow, it is so for writes as well.
-func (l *Writer) ObserveRead(d time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.patience.RaiseTo(d)
+// ObserveRead records how long a read has taken. If reads are slow, writes are slow as well, and the timeout rises.
+func (w *Writer) ObserveRead(d time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.callTimeout.RaiseTo(d)
 }
 
-// answered notes whether a write that was begun at some moment was answered within a limit, and not refused.
-func (l *Writer) recordCall(began time.Time, limit time.Duration, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// recordCall records a write that started at started with the timeout callTimeout. ok is true if it was answered and not refused.
+func (w *Writer) recordCall(started time.Time, callTimeout time.Duration, ok bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	if ok {
-		l.patience.Observe(boottime.Since(began))
-		l.unansweredSince = time.Time{}
+		w.callTimeout.Observe(boottime.Since(started))
+		w.unansweredSince = time.Time{}
 		return
 	}
-	if boottime.Since(began) >= limit {
-		l.patience.ObserveTimeout(limit)
+	if boottime.Since(started) >= callTimeout {
+		w.callTimeout.ObserveTimeout(callTimeout)
 	}
-	if l.unansweredSince.IsZero() {
-		l.unansweredSince = began
+	if w.unansweredSince.IsZero() {
+		w.unansweredSince = started
 	}
 }
 
-// New returns a Ledger; done is called for each write, on another goroutine.
-func New(s Store, done func(Result), log *logrus.Entry) *Writer {
+// New returns a Writer. onResult is called once for each write, on another goroutine.
+func New(s Store, onResult func(Result), log *logrus.Entry) *Writer {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Writer{
-		store: s, onResult: done, log: log, ctx: ctx, cancel: cancel, parts: make(map[string]*partWriter),
-		patience: timeout.New(timeoutFactor, minTimeout, maxTimeout),
+		store: s, onResult: onResult, log: log, ctx: ctx, cancel: cancel, parts: make(map[string]*partWriter),
+		callTimeout: timeout.New(timeoutFactor, minTimeout, maxTimeout),
 	}
 }
 
-// Stop gives up what is under way; nobody hears of it any more.
-func (l *Writer) Stop() { l.cancel() }
-
-// Write begins a write and never blocks.
-func (l *Writer) Write(op Op) {
-	l.mu.Lock()
-	n := l.parts[op.Part]
-	if n == nil {
-		n = &partWriter{writer: l, wake: make(chan struct{}, 1)}
-		l.parts[op.Part] = n
-		go n.run()
+// Stop cancels all writes in progress. onResult is not called for them.
+func (w *Writer) Stop() { w.cancel() }
+
+// Write queues a write. It never blocks.
+func (w *Writer) Write(op Op) {
+	w.mu.Lock()
+	part := w.parts[op.Part]
+	if part == nil {
+		part = &partWriter{writer: w, wake: make(chan struct{}, 1)}
+		w.parts[op.Part] = part
+		go part.run()
 	}
-	n.queue = append(n.queue, &pendingOp{Op: op})
-	l.mu.Unlock()
-	n.signal()
+	part.queue = append(part.queue, &pendingOp{Op: op})
+	w.mu.Unlock()
+	part.signal()
 }
--- a/internal/kept/jobstore/ledger_test.go
+++ b/internal/kept/jobstore/ledger_test.go
@@ -15,14 +15,14 @@
 	"hillreel/internal/kept/jobstore"
 )
 
-// fake is a store that does as the test says.
+// fake is a store that answers as the test says.
 type fake struct {
 	mu sync.Mutex
-	// answer says what becomes of a transaction; version is the next one's.
+	// answer returns the error of a transaction. version is the version of the last transaction.
 	answer  func(t rows.Txn) error
 	version rows.Version
 	txns    []rows.Txn
-	// gate holds transactions back while it is locked.
+	// commitGate blocks transactions while it is locked.
 	commitGate sync.Mutex
 }
 
@@ -82,7 +82,8 @@
 	}
 }
 
-// TestGrouping: writes that gather while one is under way go out together.
+// TestWritesAreGrouped checks that writes that are queued while another one is in progress are committed together. Otherwise
+// each would wait for a transaction of its own.
 func TestWritesAreGrouped(t *testing.T) {
 	f, l, results := start(t, func(rows.Txn) error { return nil })
 	f.commitGate.Lock()
@@ -98,7 +99,7 @@
 	qt.Assert(t, f.sizes(), qt.DeepEquals, []int{1, 5})
 }
 
-// TestGroupsAreBounded: the platform takes no more than 100 entries in a transaction.
+// TestGroupsAreBounded guards against transactions of more than 100 entries, which the platform does not accept.
 func TestGroupsAreBounded(t *testing.T) {
 	f, l, results := start(t, func(rows.Txn) error { return nil })
 	f.commitGate.Lock()
@@ -114,7 +115,8 @@
 	}
 }
 
-// TestConflictOfOne: a write whose condition does not hold leaves those of its group alone, and brings what is there.
+// TestConflictOfOne checks that the other writes of a group are done if the condition of one does not hold, and that the
+// result of the latter holds the rows that the store has.
 func TestConflictOfOne(t *testing.T) {
 	f, l, results := start(t, func(t rows.Txn) error {
 		for _, p := range t.Put {
@@ -140,7 +142,8 @@
 	}
 }
 
-// TestDoubt: what becomes of a write that got no answer, was refused, or was never tried.
+// TestDoubt checks the outcome of a write that got no answer, was refused, or both. A write that may have been done must not
+// be reported as refused.
 func TestDoubt(t *testing.T) {
 	silent := errors.New("no answer")
 	soon := func(o jobstore.Op) jobstore.Op { o.GiveUpAt = time.Now().Add(150 * time.Millisecond); return o }
@@ -148,16 +151,16 @@
 	for _, test := range []struct {
 		name string
 		op   jobstore.Op
-		// answers are those to the first tries; later ones succeed.
+		// answers are the errors of the first attempts; later attempts succeed.
 		answers []error
 		want    jobstore.Outcome
 	}{
 		{"refused for a while", op(1), []error{rows.ErrRefused, rows.ErrRefused}, jobstore.Done},
 		{"refused until it is given up", soon(op(1)), []error{rows.ErrRefused, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, jobstore.Refused},
-		{"in doubt, and then refused until it would be given up", soon(op(1)), []error{silent, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, jobstore.Done},
-		{"in doubt, and it was done", op(1), []error{silent, rows.ErrConflict}, jobstore.Conflict},
-		{"tried once, refused", once(op(1)), []error{rows.ErrRefused}, jobstore.Refused},
-		{"tried once, in doubt", once(op(1)), []error{silent}, jobstore.Uncertain},
+		{"uncertain, then refused beyond GiveUpAt", soon(op(1)), []error{silent, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, jobstore.Done},
+		{"uncertain, and it was done", op(1), []error{silent, rows.ErrConflict}, jobstore.Conflict},
+		{"no retry, refused", once(op(1)), []error{rows.ErrRefused}, jobstore.Refused},
+		{"no retry, uncertain", once(op(1)), []error{silent}, jobstore.Uncertain},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			left := test.answers
@@ -175,8 +178,9 @@
 	}
 }
 
-// TestNoDoubtBehindDoubt: while a write is in doubt, those behind it are not begun, so that they can still be refused; and
-// the store counts as away after a while.
+// TestNoDoubtBehindDoubt checks that the writes behind an uncertain write are not started, so that they can still be refused.
+// Otherwise one lost answer would make the outcome of all later writes unknown. It also checks that the store counts as
+// unavailable when it does not answer.
 func TestNoDoubtBehindDoubt(t *testing.T) {
 	f, l, results := start(t, func(rows.Txn) error { return errors.New("no answer") })
 	l.Write(op(1))
--- a/internal/kept/jobstore/read.go
+++ b/internal/kept/jobstore/read.go
@@ -16,19 +16,22 @@
 type Reader struct {
 	store  Store
 	layout record.Layout
-	// keep is how long the state of an ended job can be asked for.
+	// retention is how long the state of an ended job can be queried.
 	retention time.Duration
 }
 
-// NewReader returns a Reader.
-func NewReader(s Store, l record.Layout, keep time.Duration) *Reader { return &Reader{s, l, keep} }
+// NewReader returns a Reader. The rows of a job that it cancels are kept for retention.
+func NewReader(s Store, l record.Layout, retention time.Duration) *Reader {
+	return &Reader{s, l, retention}
+}
 
 // Leases reads all leases.
 func (r *Reader) Leases(ctx context.Context) (rows.Page, error) {
 	return r.store.Range(ctx, rows.Range{Table: record.Leases})
 }
 
-// Scan reads all open jobs, and then the leases, so that no lease is missing whose job is there.
+// Scan reads all open jobs, and then the leases. In this order, the lease of the owner of each job that was read is read as
+// well if it still exists.
 func (r *Reader) Scan(ctx context.Context) (open []rows.Row, leases rows.Page, err error) {
 	for _, part := range r.layout.AllParts() {
 		page, err := r.store.Range(ctx, record.OpenRows(part))
@@ -41,7 +44,7 @@
 	return open, leases, err
 }
 
-// Fetch reads what some jobs were submitted with; one that is not there has version zero.
+// Fetch reads the submitted records of jobs, in the order of ids. A row that does not exist has version zero.
 func (r *Reader) Fetch(ctx context.Context, ids []job.ID) ([]rows.Row, error) {
 	var out []rows.Row
 	for _, id := range ids {
@@ -54,9 +57,10 @@
 	return out, nil
 }
 
-// Look reads the rows of an open and of an ended job; one that is not there has version zero.
+// LookUp reads the open and the ended row of a job. A row that does not exist has version zero.
 func (r *Reader) LookUp(ctx context.Context, id job.ID) (open, ended rows.Row, err error) {
-	// The open row goes in the transaction that writes the other, so it is read first.
+	// The open row is read first, because the transaction that writes the ended row removes the open row. In the other
+	// order, both could seem to be missing.
 	if open, err = r.store.Read(ctx, r.layout.OpenKey(id)); err != nil {
 		return open, ended, err
 	}
@@ -64,7 +68,7 @@
 	return open, ended, err
 }
 
-// State reads a job's state; verdict.Unknown when there is no such job.
+// State reads the state of a job. It is verdict.Unknown if there is no such job.
 func (r *Reader) State(ctx context.Context, id job.ID) (verdict.State, error) {
 	open, row, err := r.LookUp(ctx, id)
 	switch {
@@ -79,7 +83,7 @@
 	return ended.State, err
 }
 
-// openState is the state of a job that has not ended.
+// openState returns the state of a job that has not ended.
 func openState(row rows.Row) (verdict.State, error) {
 	open, err := record.Decode[record.OpenJob](row)
 	if err != nil {
@@ -91,11 +95,11 @@
 	return verdict.Pending, nil
 }
 
-// maxRaces bounds how often a cancellation is tried again because the job's owner wrote meanwhile.
+// maxCancelTries bounds the attempts of a cancellation, which fails whenever the job's owner has written meanwhile.
 const maxCancelTries = 20
 
-// Cancel ends a job that another entry owns, and returns the state in which it has ended; verdict.Unknown when there is
-// no such job. The owner hears of it by the table of cancellations.
+// Cancel cancels a job that another entry owns, and returns the state in which the job has ended. It is verdict.Unknown if
+// there is no such job. The owner learns of the cancellation because it follows the table of cancellations.
 func (r *Reader) Cancel(ctx context.Context, id job.ID) (verdict.State, error) {
 	for range maxCancelTries {
 		open, err := r.store.Read(ctx, r.layout.OpenKey(id))
@@ -112,7 +116,7 @@
 		if _, err := r.store.Commit(ctx, t); err == nil {
 			return verdict.Cancelled, nil
 		}
-		// Whatever went wrong: the next look at the rows tells whether it was done.
+		// Whatever the error was, the next read of the rows shows whether the cancellation was done.
 		if ctx.Err() != nil {
 			return "", errors.Wrap(ctx.Err(), "ledger: cancel")
 		}
@@ -120,7 +124,7 @@
 	return "", errors.Errorf("ledger: cancel: lost %d races", maxCancelTries)
 }
 
-// cancel returns the transaction that ends a job.
+// cancelTxn returns the transaction that cancels a job.
 func (r *Reader) cancelTxn(ctx context.Context, id job.ID, open rows.Row) (rows.Txn, error) {
 	page, err := r.Leases(ctx) // for the store's clock
 	if err != nil {
@@ -134,7 +138,8 @@
 	return t, nil
 }
 
-// EndTxn returns the transaction that ends an open job; its rows may be forgotten from expires on, by the store's clock.
+// EndTxn returns the transaction that ends an open job whose open row has version open. The job's rows may be deleted once
+// the store's clock has reached expires.
 func EndTxn(l record.Layout, id job.ID, open rows.Version, e record.EndedJob, expires time.Duration) (rows.Txn, error) {
 	value, err := record.Encode(e)
 	if err != nil {
@@ -147,13 +152,13 @@
 	}, nil
 }
 
-// sweepAtOnce is how many jobs are forgotten in one transaction: four rows each, of the 100 entries it may have.
+// sweepBatch is how many jobs are deleted in one transaction: each has four rows, and a transaction at most 100 entries.
 const sweepBatch = 25
 
-// sweepMost bounds the transactions of one sweep: half of a part's share of two seconds.
+// maxSweepBatches bounds the transactions of one sweep, to half of a part's share of two seconds.
 const maxSweepBatches = 200
 
-// Sweep removes the rows of the jobs of a part that may be forgotten, and returns how many.
+// Sweep deletes the rows of the jobs of a part that have expired, and returns the number of jobs.
 func (r *Reader) Sweep(ctx context.Context, part string) (count int, err error) {
 	page, err := r.Leases(ctx) // for the store's clock
 	if err != nil {
