--- a/internal/kept/claims/claims.go
+++ b/internal/kept/claims/claims.go
@@ -1,5 +1,5 @@
-// Package claims watches the leases of other entries, and claims those that have ended so that this entry can take over
-// their jobs. It is a state machine without I/O and without a clock of its own; one goroutine uses it.
+// Package claims watches the leases of other entries. It claims the expired ones, so that this entry can take over their
+// jobs. The package is a state machine without I/O and without its own clock; one goroutine uses it.
 package claims
 
 import (
@@ -18,61 +18,62 @@
 )
 
 const (
-	// scanEvery is the pause between two looks for jobs whose lease is gone: a write that arrived after its entry's
-	// lease had been taken over leaves one.
+	// scanInterval is the pause between two scans for jobs whose owner's lease no longer exists. Such a job is left by a write
+	// that reaches the store after the lease of its entry was taken over.
 	scanInterval = 10 * time.Second
-	// retryScan is the pause after one that failed.
+	// scanRetryDelay is the pause after a failed scan.
 	scanRetryDelay = 200 * time.Millisecond
 )
 
-// Store reads and writes rows.
+// Store starts reads and writes of rows.
 type Store interface {
-	// Write begins a write; then is called with what came of it.
+	// Write starts a write; then is called with its result.
 	Write(op jobstore.Op, then func(now time.Time, r jobstore.Result))
-	// Scan reads all open jobs; Scanned or ScanFailed follows.
+	// Scan starts reading all open jobs. Claims.HandleScan or Claims.HandleScanFailed must follow.
 	Scan()
 }
 
-// Lease is this entry's own lease, without which it claims none.
+// Lease is this entry's own lease. An entry without a lease claims none.
 type Lease interface {
 	ID() record.LeaseID
 	Held(now time.Time) bool
 	Request(now time.Time)
-	// QuietSince is from when on this VM's entry has surely not acted under an earlier lease.
+	// QuietSince returns the time since which no entry on this VM can have acted under an earlier lease.
 	QuietSince() time.Time
 }
 
-// Options are the settings of Claims.
+// Options configures Claims.
 type Options struct {
 	// Node is the entry's VM.
 	Node string
-	// Length is how long a claim lasts.
+	// LeaseDuration is how long a claim lasts.
 	LeaseDuration time.Duration
-	// Settle is how long after an entry has stopped acting nothing of it runs any more.
+	// SettleTime is the time after an entry has stopped acting by which none of its runs is running any more.
 	SettleTime time.Duration
-	// Event logs and counts an event.
+	// LogEvent logs and counts an event.
 	LogEvent func(level logrus.Level, name string, f logrus.Fields)
 	Log      *logrus.Entry
 }
 
-// Claims holds the leases of other entries.
+// Claims tracks the leases of other entries, and the claims on those that have expired.
 type Claims struct {
 	opts     Options
 	ownLease Lease
 	store    Store
-	// others are the leases of other entries, as they were read last.
+	// otherLeases are the leases of other entries according to the last read.
 	otherLeases map[record.LeaseID]record.Lease
-	// claims are the leases whose jobs this entry takes over; scanning is true while open jobs are being read.
+	// claims holds, by lease, the claims whose jobs this entry takes over. scanning is true while the open jobs are being
+	// read. nextScan is when the next scan for jobs without a lease is due.
 	claims   map[record.LeaseID]*claim
 	scanning bool
 	nextScan time.Time
 }
 
-// claim is the taking over of the jobs of a lease that has ended.
+// claim is the takeover of the jobs of an expired lease.
 type claim struct {
-	// version is that of the lease's row once it is claimed; zero before.
+	// version is the version of the lease's row once it is claimed, and zero before.
 	version rows.Version
-	// left are the jobs that are not taken over yet, scanned is true once they are known.
+	// remaining are the jobs that are not taken over yet. scanned is true once they are known.
 	remaining map[job.ID]bool
 	scanned   bool
 }
@@ -83,7 +84,7 @@
 	Owner record.LeaseID
 }
 
-// New returns Claims that know of no lease.
+// New returns Claims without known leases.
 func New(o Options, own Lease, s Store) *Claims {
 	return &Claims{
 		opts: o, ownLease: own, store: s,
@@ -91,13 +92,13 @@
 	}
 }
 
-// Others tells whether another entry is known to have a lease.
+// HasOthers reports whether another entry is known to have a lease.
 func (c *Claims) HasOthers() bool { return len(c.otherLeases) > 0 }
 
-// Any tells whether the jobs of a lease are being taken over.
+// HasClaims reports whether the jobs of any lease are being taken over.
 func (c *Claims) HasClaims() bool { return len(c.claims) > 0 }
 
-// NotBegun counts a queue's jobs that have not begun at other entries, as they said last.
+// NotBegun returns how many jobs of a queue have not started at other entries, according to the last read of their leases.
 func (c *Claims) NotBegun(r route.Name) int {
 	n := 0
 	for _, l := range c.otherLeases {
@@ -106,21 +107,22 @@
 	return n
 }
 
-// Read takes in all leases of other entries, and the store's clock as it was then.
+// HandleLeases handles a read of all leases of other entries. clock is the store's clock at the time of the read.
 func (c *Claims) HandleLeases(now time.Time, clock time.Duration, leases []rows.Row) {
 	clear(c.otherLeases)
 	for _, row := range leases {
 		l, err := record.Decode[record.Lease](row)
 		if err != nil {
 			record.LogUnreadable(c.opts.Log, err)
-			continue // whose it is, and until when, can't be told
+			continue // the owner and the expiry of the lease are unknown
 		}
 		c.otherLeases[record.LeaseID(row.Key.Name)] = l
 		c.claimExpired(now, clock, row, l)
 	}
 }
 
-// claimExpired claims a lease that has ended, if nothing can run for it any more.
+// claimExpired claims a lease if it has expired and no run of its entry can still be running. It requests a lease for this
+// entry first if there is none.
 func (c *Claims) claimExpired(now time.Time, clock time.Duration, row rows.Row, l record.Lease) {
 	if !c.expired(now, clock, l) || c.claims[record.LeaseID(row.Key.Name)] != nil {
 		return
@@ -132,52 +134,52 @@
 	c.claim(clock, row, l)
 }
 
-// expired tells whether a lease has ended for so long that nothing can run for it any more.
+// expired reports whether a lease expired so long ago that no run of its entry can still be running.
 func (c *Claims) expired(now time.Time, clock time.Duration, l record.Lease) bool {
 	if l.Node == c.opts.Node && now.Sub(c.ownLease.QuietSince()) > c.opts.SettleTime {
-		// An earlier life of this very entry, or an earlier lease of this one.
+		// The lease is of an earlier incarnation of this entry, or an earlier lease of this one.
 		return true
 	}
 	return clock > l.Until()+c.opts.SettleTime+lease.ClockMargin
 }
 
-// claim writes that this entry takes over the jobs of a lease, and then looks for them.
+// claim writes to the lease's row that this entry takes over its jobs, and then scans for the jobs.
 func (c *Claims) claim(clock time.Duration, row rows.Row, l record.Lease) {
 	id := record.LeaseID(row.Key.Name)
-	begun := &claim{remaining: make(map[job.ID]bool)}
-	c.claims[id] = begun
+	started := &claim{remaining: make(map[job.ID]bool)}
+	c.claims[id] = started
 	next := record.Lease{Node: l.Node, UntilMs: (clock + c.opts.LeaseDuration).Milliseconds(), Adopter: c.ownLease.ID()}
 	c.opts.LogEvent(logrus.InfoLevel, "lease_claimed", logrus.Fields{"lease": id, "node": l.Node, "ended_ms_ago": (clock - l.Until()).Milliseconds()})
 	c.store.Write(jobstore.Op{NoRetry: true, Txn: rows.Txn{
 		If:  []rows.Condition{{Key: row.Key, Version: row.Version}},
 		Put: []rows.Row{{Key: row.Key, Value: record.EncodeLogged(c.opts.Log, next)}},
 	}}, func(now time.Time, r jobstore.Result) {
-		if c.claims[id] != begun {
+		if c.claims[id] != started {
 			return
 		}
 		if r.Outcome != jobstore.Done {
-			delete(c.claims, id) // the next reading tells whose it is
+			delete(c.claims, id) // the next read shows who has claimed it
 			return
 		}
-		begun.version = r.Version
+		started.version = r.Version
 		c.scan(now)
 	})
 }
 
-// Held notes that the entry has a lease of its own again.
+// HandleOwnLeaseHeld restarts the scan interval when this entry has acquired a lease.
 func (c *Claims) HandleOwnLeaseHeld(now time.Time) { c.nextScan = now.Add(scanInterval) }
 
-// Lost gives all claims up, with the entry's own lease.
+// Clear gives up all claims. It is called when this entry's own lease has ended.
 func (c *Claims) Clear() { clear(c.claims) }
 
-// Rescan looks for jobs whose lease is gone, if it is time.
+// ScanIfDue scans for jobs whose owner's lease no longer exists, if a scan is due.
 func (c *Claims) ScanIfDue(now time.Time) {
 	if c.ownLease.Held(now) && now.After(c.nextScan) {
 		c.scan(now)
 	}
 }
 
-// scan reads all open jobs.
+// scan starts reading all open jobs, unless they are being read.
 func (c *Claims) scan(now time.Time) {
 	c.nextScan = now.Add(scanInterval)
 	if !c.scanning {
@@ -186,14 +188,14 @@
 	}
 }
 
-// ScanFailed handles a reading of the open jobs that failed, or can't be used.
+// HandleScanFailed handles a scan that failed or whose result can't be used.
 func (c *Claims) HandleScanFailed(now time.Time) {
 	c.scanning = false
 	c.nextScan = now.Add(scanRetryDelay)
 }
 
-// Scanned handles the open jobs that this entry does not know, and the leases as they were read after them. It returns the
-// jobs that are to be taken over: their owner's lease was claimed by this entry, or is gone.
+// HandleScan handles the open jobs that this entry does not know, and the leases that were read after them. It returns the
+// jobs to take over: those whose owner's lease was claimed by this entry or no longer exists.
 func (c *Claims) HandleScan(open []Job, leases []rows.Row) []job.ID {
 	c.scanning = false
 	present := make(map[record.LeaseID]bool)
@@ -202,39 +204,39 @@
 	}
 	var orphans []job.ID
 	for _, j := range open {
-		a := c.claims[j.Owner]
-		claimed := a != nil && a.version != 0
+		cl := c.claims[j.Owner]
+		claimed := cl != nil && cl.version != 0
 		if claimed {
-			a.remaining[j.ID] = true
+			cl.remaining[j.ID] = true
 		}
 		if claimed || !present[j.Owner] {
 			orphans = append(orphans, j.ID)
 		}
 	}
-	for _, a := range c.claims {
-		a.scanned = a.version != 0
+	for _, cl := range c.claims {
+		cl.scanned = cl.version != 0
 	}
 	return orphans
 }
 
-// Taken notes that a job is not to be taken over any more.
+// RemoveJob removes a job that no longer has to be taken over.
 func (c *Claims) RemoveJob(id job.ID) {
-	for _, a := range c.claims {
-		delete(a.remaining, id)
+	for _, cl := range c.claims {
+		delete(cl.remaining, id)
 	}
 }
 
-// End removes the rows of leases all of whose jobs are taken over.
+// RemoveFinished removes the claims all of whose jobs are taken over, and the rows of their leases.
 func (c *Claims) RemoveFinished() {
 	for _, id := range slices.Sorted(maps.Keys(c.claims)) {
-		a := c.claims[id]
-		if !a.scanned || len(a.remaining) > 0 {
+		cl := c.claims[id]
+		if !cl.scanned || len(cl.remaining) > 0 {
 			continue
 		}
 		delete(c.claims, id)
 		key := record.LeaseKey(id)
 		c.store.Write(jobstore.Op{NoRetry: true, Txn: rows.Txn{
-			If: []rows.Condition{{Key: key, Version: a.version}}, Remove: []rows.Key{key},
-		}}, func(time.Time, jobstore.Result) {}) // if it is still there, it is claimed again
+			If: []rows.Condition{{Key: key, Version: cl.version}}, Remove: []rows.Key{key},
+		}}, func(time.Time, jobstore.Result) {}) // if the row is not removed, the lease is claimed again
 	}
 }
--- a/internal/kept/claims/claims_test.go
+++ b/internal/kept/claims/claims_test.go
@@ -24,7 +24,7 @@
 
 var start = time.Unix(1000, 0)
 
-// entry is an entry whose lease and store do what the test says.
+// entry stands in for the entry's own lease and the store. It records the calls.
 type entry struct {
 	held      bool
 	wanted    bool
@@ -50,7 +50,7 @@
 	}, e, e)
 }
 
-// leaseRow is a lease that has ended.
+// leaseRow returns the row of a lease that has expired.
 func leaseRow(node string) rows.Row {
 	return rows.Row{
 		Key: record.LeaseKey(old), Version: 3,
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestClaim: a lease is claimed once nothing can run for it any more, and only with a lease of one's own.
+// TestClaim guards against jobs that are taken over while a run of their former owner may still be running, or by an entry
+// without a lease.
 func TestClaim(t *testing.T) {
 	const late = settle + lease.ClockMargin
 	for _, test := range []struct {
@@ -69,18 +70,18 @@
 		clock          time.Duration
 		writes, wanted bool
 	}{
-		{"it lives", "vm-2", true, time.Hour, ended, false, false},
-		{"something may still run", "vm-2", true, time.Hour, ended + late, false, false},
-		{"nothing runs", "vm-2", true, time.Hour, ended + late + 1, true, false},
-		{"nothing runs, without a lease", "vm-2", false, time.Hour, ended + late + 1, false, true},
-		{"an earlier life", "vm-1", true, settle + 1, 0, true, false},
-		{"an earlier life that may still act", "vm-1", true, settle, 0, false, false},
+		{"not expired", "vm-2", true, time.Hour, ended, false, false},
+		{"runs may still be running", "vm-2", true, time.Hour, ended + late, false, false},
+		{"no run is running", "vm-2", true, time.Hour, ended + late + 1, true, false},
+		{"no run is running, but no own lease", "vm-2", false, time.Hour, ended + late + 1, false, true},
+		{"an earlier incarnation", "vm-1", true, settle + 1, 0, true, false},
+		{"an earlier incarnation that may still act", "vm-1", true, settle, 0, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			e := &entry{held: test.held, quiet: start.Add(-test.quietFor)}
 			c := newClaims(e)
 			c.HandleLeases(start, test.clock, []rows.Row{leaseRow(test.node)})
-			c.HandleLeases(start, test.clock, []rows.Row{leaseRow(test.node)}) // it is not claimed twice
+			c.HandleLeases(start, test.clock, []rows.Row{leaseRow(test.node)}) // must not claim the lease twice
 			qt.Assert(t, c.HasClaims(), qt.Equals, test.writes)
 			qt.Assert(t, len(e.writes), qt.Equals, map[bool]int{true: 1}[test.writes])
 			qt.Assert(t, e.wanted, qt.Equals, test.wanted)
@@ -89,7 +90,8 @@
 	}
 }
 
-// TestScan: once a lease is claimed its jobs are sought, and its row goes when all of them are taken over.
+// TestClaimedJobsAreScanned checks that the jobs of a claimed lease are scanned for, and that the lease's row is removed only
+// when all of them are taken over. A job whose lease was removed too early would wait for the next scan.
 func TestClaimedJobsAreScanned(t *testing.T) {
 	e := &entry{held: true}
 	c := newClaims(e)
@@ -112,7 +114,8 @@
 	qt.Assert(t, c.HasClaims(), qt.IsFalse)
 }
 
-// TestLostClaim: a claim that another entry was faster with, or that goes with the entry's own lease, is given up.
+// TestLostClaim checks that a claim is given up if another entry has claimed the lease first, or if the entry loses its own
+// lease. Otherwise two entries would take over the same jobs.
 func TestLostClaim(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/kept/lease/tenure.go
+++ b/internal/kept/lease/tenure.go
@@ -1,6 +1,7 @@
-// Package tenure keeps an entry's own lease: its right to act for the kept jobs that it owns. The lease is a row of the
-// platform's store that is renewed under a condition; by the entry's own clock it ends before others may take it over.
-// It is a state machine without I/O and without a clock of its own; one goroutine uses it.
+// Package lease acquires and renews an entry's lease, which is its right to act for the kept jobs that it owns. The lease is
+// a row of the platform's store that is renewed by conditional writes. By the entry's own clock, the lease expires before
+// other entries may take its jobs over. The package is a state machine without I/O and without its own clock; one goroutine
+// uses it.
 package lease
 
 import (
@@ -17,221 +18,227 @@
 	"hillreel/internal/kept/record"
 )
 
-// ClockMargin is what the entry's own view of its lease is shorter than the store's, and what others wait longer: timers fire
-// late, and steady clocks differ by less than a thousandth.
+// ClockMargin is a safety margin. By the entry's own clock a lease expires this much earlier than by the store's clock, and
+// other entries wait this much longer before they take over its jobs. The margin covers timers that fire late and the
+// difference between monotonic clocks, which is less than a thousandth.
 const ClockMargin = 200 * time.Millisecond
 
 const (
-	// idlePoll is the pause between two readings of the leases while no entry is known to have one: a call each that has
-	// a price. A lease that was left behind is found at the start.
+	// idlePollInterval is the pause between two reads of the leases while no entry is known to have one. It is long because
+	// each read is a call that is paid for. A lease that an earlier process left behind is found by the first read.
 	idlePollInterval = 10 * time.Second
-	// retryPoll is the pause after a reading that failed, and while a lease is wanted.
+	// retryDelay is the pause after a failed read of the leases, and after each read while a lease is requested.
 	retryDelay = 200 * time.Millisecond
-	// idleFor is how long an entry without kept jobs holds its lease, whose renewals are calls that have a price.
+	// maxIdle is how long an entry without kept jobs holds its lease. Each renewal is a call that is paid for.
 	maxIdle = 30 * time.Second
 )
 
-// Owner is whose lease it is.
+// Handler does the I/O of a Lease and is told of its changes.
 type Handler interface {
-	// Write begins a write; then is called with what came of it.
+	// Write starts a write; then is called with its result.
 	Write(op jobstore.Op, then func(now time.Time, r jobstore.Result))
-	// ReadLeases reads all leases; Read or ReadFailed follow.
+	// ReadLeases starts reading all leases. Lease.HandleRead or Lease.HandleReadFailed must follow.
 	ReadLeases()
-	// Held is called when the lease is there, and at each renewal; first is true when it was not there before.
+	// OnHeld is called when the lease was acquired or renewed; first is true when it was acquired.
 	OnHeld(now time.Time, first bool)
-	// Lost is called when it has ended, and tells whether another one is wanted at once.
+	// OnLost is called when the lease has ended. It returns true if a new lease is needed at once.
 	OnLost(now time.Time, id record.LeaseID, why string) (wanted bool)
-	// Waiting counts the jobs that have not begun, by queue, to be told with renewals.
+	// Waiting returns, by queue, the number of jobs that have not started. It is stored with each renewal.
 	Waiting() map[route.Name]int
 }
 
-// Options are the settings of a Tenure.
+// Options configures a Lease.
 type Options struct {
-	// Node is the entry's VM, Incarnation this life of the entry.
+	// Node is the entry's VM. Incarnation identifies this process of the entry.
 	Node        string
 	Incarnation ident.Incarnation
-	// Length is how long the lease lasts, Renew the pause between renewals.
+	// Duration is how long the lease lasts. RenewInterval is the pause between renewals.
 	Duration, RenewInterval time.Duration
-	// Without leaves out safety rules, for experiments only.
+	// Without disables safety rules, for experiments only.
 	Without rule.Set
 	Log     *logrus.Entry
 }
 
-// Tenure is one entry's lease, and those that follow it.
+// Lease is the current lease of one entry. When it has ended, the same Lease can acquire a new one with another id.
 type Lease struct {
 	opts    Options
 	handler Handler
-	// number counts the leases of this life.
+	// leaseNumber is the number of leases of this incarnation that have ended.
 	leaseNumber int
-	// id is that of the lease, or of the one that is being acquired, empty when there is neither; held is true while it
-	// is there.
+	// id is the id of the lease that is held or being acquired, and empty otherwise. held is true from the acquisition of
+	// the lease until its end.
 	id   record.LeaseID
 	held bool
-	// version is that of the row, until the moment to which the entry may act, by its own clock.
+	// version is the version of the lease's row. until is when the lease expires by the entry's own clock.
 	version rows.Version
 	until   time.Time
-	// wanted is true while something waits for the lease.
+	// wanted is true while a lease is requested and not acquired yet.
 	wanted bool
-	// writing is true while the row is being written, reading while leases are being read; readAt is when that began.
+	// writing is true while the row is being written, and reading while the leases are being read. readStarted is when the
+	// last successful read was started, and nextRead when the next one is due.
 	writing, reading      bool
 	readStarted, nextRead time.Time
-	// clock is the store's clock at readAt, or a little later.
+	// clock is the store's clock at readStarted, or slightly later.
 	clock time.Duration
-	// usedAt is when there was last a use for it.
+	// lastUsed is when the lease was last needed.
 	lastUsed time.Time
-	// quietSince is from when on this VM's entry has surely not acted under an earlier lease.
+	// quietSince is the time since which no entry on this VM can have acted under an earlier lease.
 	quietSince time.Time
 }
 
-// New returns a Tenure without a lease.
-func New(o Options, owner Handler, now time.Time) *Lease {
-	return &Lease{opts: o, handler: owner, quietSince: now, readStarted: now}
+// New returns a Lease that is not held.
+func New(o Options, handler Handler, now time.Time) *Lease {
+	return &Lease{opts: o, handler: handler, quietSince: now, readStarted: now}
 }
 
-// ID names the lease.
-func (t *Lease) ID() record.LeaseID { return t.id }
+// ID returns the id of the lease that is held or being acquired. It is empty if there is none.
+func (l *Lease) ID() record.LeaseID { return l.id }
 
-// Held tells whether the entry may act for kept jobs.
-func (t *Lease) Held(now time.Time) bool {
-	return t.held && (now.Before(t.until) || t.opts.Without.Has(rule.OwnerLease))
+// Held reports whether the entry may act for kept jobs.
+func (l *Lease) Held(now time.Time) bool {
+	return l.held && (now.Before(l.until) || l.opts.Without.Has(rule.OwnerLease))
 }
 
-// Clock is about the store's clock.
-func (t *Lease) Clock(now time.Time) time.Duration { return t.clock + now.Sub(t.readStarted) }
+// Clock returns an estimate of the store's clock, extrapolated from the last read.
+func (l *Lease) Clock(now time.Time) time.Duration { return l.clock + now.Sub(l.readStarted) }
 
-// QuietSince is from when on this VM's entry has surely not acted under an earlier lease.
-func (t *Lease) QuietSince() time.Time { return t.quietSince }
+// QuietSince returns the time since which no entry on this VM can have acted under an earlier lease.
+func (l *Lease) QuietSince() time.Time { return l.quietSince }
 
-// Want asks for a lease.
-func (t *Lease) Request(now time.Time) {
-	if !t.wanted {
-		t.wanted, t.nextRead = true, now
-		t.readIfDue(now)
+// Request starts to acquire a lease, unless that was requested already. Handler.OnHeld follows once the lease is held.
+func (l *Lease) Request(now time.Time) {
+	if !l.wanted {
+		l.wanted, l.nextRead = true, now
+		l.readIfDue(now)
 	}
 }
 
-// Tick does what time alone brings about; used tells whether there is a use for the lease.
-func (t *Lease) Tick(now time.Time, used bool) {
+// Tick ends a lease that has expired or was idle for too long, and starts the read of the leases that is due. used is true if
+// the lease is needed.
+func (l *Lease) Tick(now time.Time, used bool) {
 	switch {
 	case used:
-		t.lastUsed = now
-	case t.held && now.Sub(t.lastUsed) > maxIdle:
-		t.Release(now, false)
+		l.lastUsed = now
+	case l.held && now.Sub(l.lastUsed) > maxIdle:
+		l.Release(now, false)
 	}
-	if t.held && !t.Held(now) {
-		t.setLost(now, "not_renewed")
+	if l.held && !l.Held(now) {
+		l.setLost(now, "not_renewed")
 	}
-	t.readIfDue(now)
+	l.readIfDue(now)
 }
 
-// read reads the leases if it is time.
-func (t *Lease) readIfDue(now time.Time) {
-	if t.reading || now.Before(t.nextRead) {
+// readIfDue starts a read of the leases if one is due and none is in progress.
+func (l *Lease) readIfDue(now time.Time) {
+	if l.reading || now.Before(l.nextRead) {
 		return
 	}
-	t.reading = true
-	t.handler.ReadLeases()
+	l.reading = true
+	l.handler.ReadLeases()
 }
 
-// ReadFailed handles a reading that failed.
-func (t *Lease) HandleReadFailed(now time.Time) { t.reading, t.nextRead = false, now.Add(retryDelay) }
+// HandleReadFailed handles a failed read of the leases.
+func (l *Lease) HandleReadFailed(now time.Time) { l.reading, l.nextRead = false, now.Add(retryDelay) }
 
-// Read handles the answer to a reading that was begun at sent: the store's clock, the lease's own row, nil when there is
-// none, and whether other entries have leases.
-func (t *Lease) HandleRead(now, sent time.Time, clock time.Duration, own *rows.Row, others bool) {
-	t.reading, t.readStarted, t.clock = false, sent, clock
-	t.handleRow(now, sent, own)
+// HandleRead handles the result of a read of the leases that was started at sent. clock is the store's clock, own is the row
+// of this lease or nil if there is none, and others is true if other entries have leases.
+func (l *Lease) HandleRead(now, sent time.Time, clock time.Duration, own *rows.Row, others bool) {
+	l.reading, l.readStarted, l.clock = false, sent, clock
+	l.handleRow(now, sent, own)
 	switch {
-	case t.wanted:
-		t.nextRead = now.Add(retryDelay)
-	case t.held || others:
-		t.nextRead = now.Add(t.opts.RenewInterval)
+	case l.wanted:
+		l.nextRead = now.Add(retryDelay)
+	case l.held || others:
+		l.nextRead = now.Add(l.opts.RenewInterval)
 	default:
-		t.nextRead = now.Add(idlePollInterval)
+		l.nextRead = now.Add(idlePollInterval)
 	}
 }
 
-// takeIn takes in the row, nil when there is none, and writes the next.
-func (t *Lease) handleRow(now, sent time.Time, row *rows.Row) {
-	if t.writing {
+// handleRow handles the row of this lease, which is nil if there is none. It writes the row to acquire or renew the lease.
+func (l *Lease) handleRow(now, sent time.Time, row *rows.Row) {
+	if l.writing {
 		return
 	}
 	taken := row == nil
 	if row != nil {
-		l, err := record.Decode[record.Lease](*row)
-		record.LogUnreadable(t.opts.Log, err)
-		taken = l.Adopter != ""
+		stored, err := record.Decode[record.Lease](*row)
+		record.LogUnreadable(l.opts.Log, err)
+		taken = stored.Adopter != ""
 	}
-	if taken && t.held {
-		t.setLost(now, "taken")
+	if taken && l.held {
+		l.setLost(now, "taken")
 	}
 	switch {
-	case row == nil && t.wanted:
-		t.id = record.LeaseID(fmt.Sprintf("%s-%d", t.opts.Incarnation, t.leaseNumber))
-		t.write(sent, 0)
-	case !taken && (t.held || t.wanted):
-		t.write(sent, row.Version)
+	case row == nil && l.wanted:
+		l.id = record.LeaseID(fmt.Sprintf("%s-%d", l.opts.Incarnation, l.leaseNumber))
+		l.write(sent, 0)
+	case !taken && (l.held || l.wanted):
+		l.write(sent, row.Version)
 	}
 }
 
-// write acquires or renews the lease, from the moment at which the store's clock was read.
-func (t *Lease) write(sent time.Time, v rows.Version) {
-	t.writing = true
-	id, number := t.id, t.leaseNumber
-	until := t.clock + t.opts.Duration
-	t.handler.Write(jobstore.Op{NoRetry: true, Txn: t.txn(id, v, record.Lease{
-		Node: t.opts.Node, UntilMs: until.Milliseconds(), Waiting: t.handler.Waiting(),
+// write starts the write that acquires or renews the lease. The lease's duration counts from sent, when the read of the
+// store's clock was started. v is the version of the present row, or zero.
+func (l *Lease) write(sent time.Time, v rows.Version) {
+	l.writing = true
+	id, number := l.id, l.leaseNumber
+	until := l.clock + l.opts.Duration
+	l.handler.Write(jobstore.Op{NoRetry: true, Txn: l.txn(id, v, record.Lease{
+		Node: l.opts.Node, UntilMs: until.Milliseconds(), Waiting: l.handler.Waiting(),
 	})}, func(now time.Time, r jobstore.Result) {
-		t.writing = false
-		if r.Outcome != jobstore.Done || t.id != id || t.leaseNumber != number {
-			return // the next reading tells what is there
+		l.writing = false
+		if r.Outcome != jobstore.Done || l.id != id || l.leaseNumber != number {
+			return // the next read shows the state of the row
 		}
-		t.setHeld(now, sent.Add(t.opts.Duration-ClockMargin), r.Version)
+		l.setHeld(now, sent.Add(l.opts.Duration-ClockMargin), r.Version)
 	})
 }
 
-// txn writes the row if it has a version.
-func (t *Lease) txn(id record.LeaseID, v rows.Version, l record.Lease) rows.Txn {
+// txn returns the transaction that writes the row if its version is v.
+func (l *Lease) txn(id record.LeaseID, v rows.Version, content record.Lease) rows.Txn {
 	key := record.LeaseKey(id)
 	return rows.Txn{
 		If:  []rows.Condition{{Key: key, Version: v}},
-		Put: []rows.Row{{Key: key, Value: record.EncodeLogged(t.opts.Log, l)}},
+		Put: []rows.Row{{Key: key, Value: record.EncodeLogged(l.opts.Log, content)}},
 	}
 }
 
-// hold notes that the lease is there until a moment.
-func (t *Lease) setHeld(now, until time.Time, v rows.Version) {
+// setHeld records that the lease is held until the given time. It does nothing if that time has passed.
+func (l *Lease) setHeld(now, until time.Time, v rows.Version) {
 	if !now.Before(until) {
 		return
 	}
-	first := !t.held
+	first := !l.held
 	if first {
-		t.lastUsed = now
+		l.lastUsed = now
 	}
-	t.held, t.wanted, t.version, t.until = true, false, v, until
-	t.nextRead = now.Add(t.opts.RenewInterval)
-	t.handler.OnHeld(now, first)
+	l.held, l.wanted, l.version, l.until = true, false, v, until
+	l.nextRead = now.Add(l.opts.RenewInterval)
+	l.handler.OnHeld(now, first)
 }
 
-// lose notes that the lease has ended, or that another entry has it.
-func (t *Lease) setLost(now time.Time, why string) {
-	id := t.id
-	t.held, t.quietSince, t.id = false, now, ""
-	t.leaseNumber++
-	t.wanted = t.handler.OnLost(now, id, why)
-	t.nextRead = now
+// setLost records that the lease has ended or was claimed by another entry.
+func (l *Lease) setLost(now time.Time, why string) {
+	id := l.id
+	l.held, l.quietSince, l.id = false, now, ""
+	l.leaseNumber++
+	l.wanted = l.handler.OnLost(now, id, why)
+	l.nextRead = now
 }
 
-// Leave ends the lease. With jobs left, other entries are to take them over at once.
-func (t *Lease) Release(now time.Time, jobs bool) {
-	if !t.held {
+// Release ends the lease. If the entry still owns jobs, the row is left as expired, so that other entries take the jobs over
+// at once. Otherwise the row is removed.
+func (l *Lease) Release(now time.Time, jobs bool) {
+	if !l.held {
 		return
 	}
-	txn := t.txn(t.id, t.version, record.Lease{Node: t.opts.Node, UntilMs: t.Clock(now).Milliseconds()})
+	txn := l.txn(l.id, l.version, record.Lease{Node: l.opts.Node, UntilMs: l.Clock(now).Milliseconds()})
 	if !jobs {
-		txn.Put, txn.Remove = nil, []rows.Key{record.LeaseKey(t.id)}
+		txn.Put, txn.Remove = nil, []rows.Key{record.LeaseKey(l.id)}
 	}
-	t.setLost(now, "leaving")
-	t.wanted = false
-	t.handler.Write(jobstore.Op{NoRetry: true, Txn: txn}, func(time.Time, jobstore.Result) {}) // if it is not done, it ends by itself
+	l.setLost(now, "leaving")
+	l.wanted = false
+	// If this write is not done, the lease expires by itself.
+	l.handler.Write(jobstore.Op{NoRetry: true, Txn: txn}, func(time.Time, jobstore.Result) {})
 }
