--- a/internal/kept/record/crash.go
+++ b/internal/kept/record/crash.go
@@ -6,10 +6,11 @@
 	"hillreel/internal/core/job"
 )
 
-// maxCrashes bounds the crashes that are kept with a job: a few tasks prove to crash upstreams, or none does, well before.
+// maxCrashes bounds the crashes that are stored with a job. Far fewer are enough to decide whether a task of the job crashes
+// upstreams.
 const maxCrashes = 64
 
-// AddCrash adds a crash to a job's progress.
+// AddCrash adds a crash to a job's progress. If there are maxCrashes already, it removes the oldest one.
 func (o *OpenJob) AddCrash(c fleet.Crash) {
 	if len(o.Crashes) >= maxCrashes {
 		o.Crashes = o.Crashes[1:]
@@ -17,7 +18,7 @@
 	o.Crashes = append(o.Crashes[:len(o.Crashes):len(o.Crashes)], crash.NewRow(c))
 }
 
-// DropCrashes forgets the crashes of a life that was not lost after all.
+// DropCrashes removes the crashes of an upstream incarnation that was not lost after all.
 func (o *OpenJob) DropCrashes(r fleet.Refutation) {
 	var rest []crash.Row
 	for _, c := range o.Crashes {
@@ -28,7 +29,7 @@
 	o.Crashes = rest
 }
 
-// CrashesOf lists the crashes under the tasks of a job.
+// CrashesOf lists the crashes under the tasks of the job, whose id is not part of the stored rows.
 func (o *OpenJob) CrashesOf(id job.ID) []fleet.Crash {
 	var out []fleet.Crash
 	for _, c := range o.Crashes {
--- a/internal/kept/record/ends.go
+++ b/internal/kept/record/ends.go
@@ -11,21 +11,21 @@
 	"hillreel/internal/core/job"
 )
 
-// Ends is a list of ends. It is written as one text of "step.index.run", with an f after runs that have failed: a job of
-// 1,500 tasks fits into a row.
+// Ends is a list of ends. It is encoded as one string of space-separated "step.index.run", with an "f" appended to runs that
+// have failed. This is compact enough for a job of 1,500 tasks to fit into a row.
 type Ends []End
 
-// Counted tells whether the end of a run is in the list.
+// Contains reports whether the list contains the end of a run.
 func (e Ends) Contains(step, index uint32, run job.Run) bool {
 	return slices.ContainsFunc(e, func(end End) bool {
 		return end.Step == step && end.Index == index && end.Run == run
 	})
 }
 
-// failedMark follows a run that has failed.
+// failedSuffix follows a run that has failed.
 const failedSuffix = "f"
 
-// MarshalJSON writes the list.
+// MarshalJSON encodes the list as one string.
 func (e Ends) MarshalJSON() ([]byte, error) {
 	var b strings.Builder
 	for i, end := range e {
@@ -40,10 +40,10 @@
 	return json.Marshal(b.String())
 }
 
-// endParts is how many numbers an end has.
+// endNumbers is the number of numbers in the text of an end.
 const endNumbers = 3
 
-// UnmarshalJSON reads the list.
+// UnmarshalJSON decodes the string that MarshalJSON writes.
 func (e *Ends) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
--- a/internal/kept/record/log.go
+++ b/internal/kept/record/log.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// LoggedValue encodes a row's value. All types of this package can be encoded; if one can't, the log says so.
+// EncodeLogged encodes a row's value. All types of this package can be encoded; an error is logged, not returned.
 func EncodeLogged(log *logrus.Entry, v any) []byte {
 	raw, err := Encode(v)
 	if err != nil {
@@ -11,7 +11,7 @@
 	return raw
 }
 
-// LogUnreadable logs why a row can't be decoded; nil is no reason.
+// LogUnreadable logs the error of a row that can't be decoded. It does nothing if err is nil.
 func LogUnreadable(log *logrus.Entry, err error) {
 	if err != nil {
 		log.WithField("error", err.Error()).Error("job_row_unreadable")
--- a/internal/kept/record/record.go
+++ b/internal/kept/record/record.go
@@ -1,8 +1,8 @@
-// Package record defines the rows in which the platform's store keeps jobs that must outlive all processes, and the
-// leases of the entries that act for them.
+// Package record defines the rows in which the platform's store holds kept jobs, which are durable, and the leases of the
+// entries that own them.
 //
-// A job has one row that is written once, one that its owner rewrites while it is open, and one once it has ended.
-// They have the same part, so that one transaction changes them together.
+// A job has one row that is written once, one row that its owner rewrites while the job is open, and one row once the job has
+// ended. All are in the same part, so that one transaction can change them together.
 package record
 
 import (
@@ -22,28 +22,29 @@
 	"hillreel/internal/core/verdict"
 )
 
-// The tables. Rows of the first five have the job's part and, but for expiries, its id as their name.
+// The tables. Rows of the first five are in the job's part. Their name is the job's id, except in expiryTable.
 const (
 	jobsTable   rows.Table = "hillreel_jobs"
 	openTable   rows.Table = "hillreel_jobs_open"
 	endedTable  rows.Table = "hillreel_jobs_ended"
 	expiryTable rows.Table = "hillreel_jobs_expiry"
-	// Cancels is followed: a row says that another entry than the owner has cancelled the job.
+	// Cancels has a row for each job that was cancelled by an entry that does not own it. Owners follow this table.
 	Cancels rows.Table = "hillreel_jobs_cancelled"
-	// Leases has a row for each entry that owns open jobs; its part is empty.
+	// Leases has a row for each entry that owns open jobs. The rows have an empty part.
 	Leases rows.Table = "hillreel_job_leases"
 )
 
-// LeaseID names one lease of one entry.
+// LeaseID identifies one lease of one entry.
 type LeaseID string
 
-// Layout says how jobs are spread over the parts of the store.
+// Layout determines how jobs are distributed over the parts of the store.
 type Layout struct {
-	// Parts is at least 1, and the same for all processes of a deployment for ever.
+	// Parts is the number of parts, at least 1. It must be the same in all processes of a deployment and must never change,
+	// because it determines where the rows of a job are.
 	Parts int
 }
 
-// part returns the name of the part with a number.
+// partName returns the name of part n.
 func partName(n int) string { return "job-" + strconv.Itoa(n) }
 
 // Part returns the part that holds a job.
@@ -53,7 +54,7 @@
 	return partName(int(h.Sum32() % uint32(l.Parts)))
 }
 
-// All lists the parts.
+// AllParts lists the names of all parts.
 func (l Layout) AllParts() []string {
 	out := make([]string, l.Parts)
 	for i := range out {
@@ -62,44 +63,45 @@
 	return out
 }
 
-// JobKey is where a job's request lies.
+// JobKey returns the key of the row that holds the job as submitted.
 func (l Layout) JobKey(id job.ID) rows.Key { return l.key(jobsTable, id) }
 
-// OpenKey is where a job's progress lies until it has ended.
+// OpenKey returns the key of the row that holds a job's progress until the job has ended.
 func (l Layout) OpenKey(id job.ID) rows.Key { return l.key(openTable, id) }
 
-// EndedKey is where the state of a job that has ended lies.
+// EndedKey returns the key of the row that holds the state of an ended job.
 func (l Layout) EndedKey(id job.ID) rows.Key { return l.key(endedTable, id) }
 
-// CancelKey is where a cancellation by another entry than the owner lies.
+// CancelKey returns the key of the row that holds a cancellation by an entry that does not own the job.
 func (l Layout) CancelKey(id job.ID) rows.Key { return l.key(Cancels, id) }
 
 func (l Layout) key(t rows.Table, id job.ID) rows.Key {
 	return rows.Key{Table: t, Part: l.Part(id), Name: id.String()}
 }
 
-// LeaseKey is where a lease lies.
+// LeaseKey returns the key of a lease's row.
 func LeaseKey(id LeaseID) rows.Key { return rows.Key{Table: Leases, Name: string(id)} }
 
-// OpenRows is the range of the open jobs of a part.
+// OpenRows returns the range of the open jobs of a part.
 func OpenRows(part string) rows.Range { return rows.Range{Table: openTable, Part: part} }
 
-// expiryDigits is the width of a time in an expiry's name: milliseconds of the store's clock, for 300 years.
+// expiryDigits is the width of the time in an expiry's name, in milliseconds of the store's clock. It is enough for 300 years.
 const expiryDigits = 13
 
-// ExpiryKey is where it lies that a job may be forgotten from a moment of the store's clock on.
+// ExpiryKey returns the key of the row which says that a job's rows may be deleted once the store's clock has reached at.
 func (l Layout) ExpiryKey(id job.ID, at time.Duration) rows.Key {
 	k := l.key(expiryTable, id)
 	k.Name = fmt.Sprintf("%0*d-%s", expiryDigits, at.Milliseconds(), id)
 	return k
 }
 
-// ExpiredRows is the range of expiries of a part before a moment.
+// ExpiredRows returns the range of the expiries of a part before now, by the store's clock.
 func ExpiredRows(part string, now time.Duration) rows.Range {
 	return rows.Range{Table: expiryTable, Part: part, To: fmt.Sprintf("%0*d", expiryDigits, now.Milliseconds())}
 }
 
-// Forget lists what goes with an expiry's row; that alone when its name can't be read.
+// ExpiredJobKeys lists the keys to delete for an expiry's row: its own, and those of the job's other rows. If the job's id
+// can't be parsed from the name, it lists only the expiry's own key.
 func (l Layout) ExpiredJobKeys(k rows.Key) []rows.Key {
 	_, text, _ := strings.Cut(k.Name, "-")
 	id, err := job.ParseID(text)
@@ -109,65 +111,65 @@
 	return []rows.Key{k, l.JobKey(id), l.EndedKey(id), l.CancelKey(id)}
 }
 
-// JobOf reads the id in the name of a row of a job.
+// ParseJobID parses the job's id in the name of a row.
 func ParseJobID(k rows.Key) (job.ID, error) {
 	id, err := job.ParseID(k.Name)
 	return id, errors.Wrapf(err, "record: row %s/%s", k.Table, k.Name)
 }
 
-// Job is a job as its caller submitted it, with its queue as it was then.
+// Job is a job as its caller submitted it, with the settings of its route at that time.
 type Job struct {
 	Spec  job.Spec    `json:"spec"`
 	Route route.Route `json:"route"`
 }
 
-// End is the end of a run that counts: it ended well, or failed through the task's own fault or its upstream's.
+// End is a counted end of a run: the run ended well, or failed by the fault of the task or its upstream.
 type End struct {
 	Step, Index uint32
 	Run         job.Run
-	// Failed is true unless it ended well.
+	// Failed is true unless the run ended well.
 	Failed bool
 }
 
-// TaskRun names a run of a task.
+// TaskRun identifies a run of a task.
 type TaskRun struct {
 	Step  uint32  `json:"step"`
 	Index uint32  `json:"index"`
 	Run   job.Run `json:"run"`
 }
 
-// Checkpoint is what a task's newest run has saved.
+// Checkpoint is the checkpoint that a task's newest run has saved.
 type Checkpoint struct {
 	Step  uint32 `json:"step"`
 	Index uint32 `json:"index"`
 	Text  string `json:"text"`
 }
 
-// Open is a job that has not ended.
+// OpenJob is the state of a job that has not ended.
 type OpenJob struct {
 	Owner LeaseID `json:"owner"`
-	// Generation counts the owners, Sequence the writes, both from 1.
+	// Generation counts the ownerships of the job, and Sequence the writes of this row. Both start at 1.
 	Generation uint32 `json:"generation"`
 	Sequence   uint64 `json:"sequence"`
-	// Void are, by task, the last runs that were given up while their agents were out of hearing: ends of theirs that are
-	// not among Ends count for nothing, and of no earlier generation's either.
+	// VoidRuns holds, by task, the last run that was given up because its agent could not be reached. Ends of this run and
+	// earlier ones count only if they are in Ends; the same holds for ends of earlier generations.
 	VoidRuns    []TaskRun    `json:"void,omitempty"`
 	Ends        Ends         `json:"ends,omitempty"`
 	Checkpoints []Checkpoint `json:"checkpoints,omitempty"`
-	// Crashes are of upstreams that were lost under tasks of the job.
+	// Crashes are the losses of upstreams that were running tasks of the job.
 	Crashes []crash.Row `json:"crashes,omitempty"`
 }
 
-// Ended is how a job has ended.
+// EndedJob is the state of a job that has ended.
 type EndedJob struct {
 	State verdict.State `json:"state"`
-	// By is the owner that says so, or empty when the job was cancelled by another entry.
+	// By is the lease of the owner that ended the job. It is empty if another entry cancelled the job.
 	By LeaseID `json:"by,omitempty"`
-	// Runs are the runs by which tasks of a complete job have ended well, where that was not the first.
+	// Runs holds the runs by which tasks of a complete job have ended well, except for tasks whose first run did.
 	Runs Ends `json:"runs,omitempty"`
 }
 
-// Counted tells whether a run is one by which a task of the job has ended well, as far as the row says.
+// Counted reports whether, according to the row, a task of the job has ended well by this run.
 func (e *EndedJob) Counted(step, index uint32, run job.Run) bool {
 	if e.State != verdict.Complete {
 		return false
@@ -184,24 +186,24 @@
 type Lease struct {
 	// Node is the entry's VM.
 	Node string `json:"node"`
-	// UntilMs is when the lease ends, by the store's clock.
+	// UntilMs is when the lease expires, in milliseconds of the store's clock.
 	UntilMs int64 `json:"until_ms"`
-	// Adopter has claimed the jobs of the lease, which has ended before.
+	// Adopter is the lease of the entry that has claimed the jobs of this lease after it expired.
 	Adopter LeaseID `json:"adopter,omitempty"`
-	// Waiting counts the entry's jobs that have not begun, by queue.
+	// Waiting is, by queue, the number of the entry's jobs that have not started.
 	Waiting map[route.Name]int `json:"waiting,omitempty"`
 }
 
-// Until is when the lease ends, by the store's clock.
+// Until returns when the lease expires, by the store's clock.
 func (l *Lease) Until() time.Duration { return time.Duration(l.UntilMs) * time.Millisecond }
 
-// Value encodes one of the types above.
+// Encode encodes a row's value, which is one of the types above.
 func Encode(v any) ([]byte, error) {
 	raw, err := json.Marshal(v)
 	return raw, errors.Wrap(err, "record: encode")
 }
 
-// Read decodes a row's value.
+// Decode decodes a row's value. Its error names the row.
 func Decode[T any](r rows.Row) (T, error) {
 	var v T
 	err := json.Unmarshal(r.Value, &v)
--- a/internal/kept/record/record_test.go
+++ b/internal/kept/record/record_test.go
@@ -15,7 +15,7 @@
 	"hillreel/internal/kept/record"
 )
 
-// TestRoundTrips: what is written is what is read.
+// TestRoundTrip checks that a decoded row equals the encoded one. A field without encoding would be lost in a takeover.
 func TestRoundTrip(t *testing.T) {
 	open := record.OpenJob{
 		Owner: "a-0", Generation: 2, Sequence: 9, VoidRuns: []record.TaskRun{{Step: 1, Index: 2, Run: 3}},
@@ -38,7 +38,8 @@
 	qt.Assert(t, gotJob, qt.DeepEquals, kept)
 }
 
-// TestLargestJobFitsIntoARow: the progress of a job of as many tasks as one may have is smaller than a row.
+// TestLargestJobFitsIntoARow checks that the progress of a job with the maximum number of tasks fits into a row. Otherwise the
+// job could be accepted, but its progress could never be stored.
 func TestLargestJobFitsIntoARow(t *testing.T) {
 	var open record.OpenJob
 	for i := range uint32(1500) {
@@ -53,7 +54,7 @@
 	qt.Assert(t, len(raw) < 48<<10, qt.IsTrue, qt.Commentf("%d bytes", len(raw)))
 }
 
-// TestUnreadableRows: a row that can't be read says which and why.
+// TestUnreadableRows checks that the error of a row that can't be decoded names the row and the cause.
 func TestUnreadableRows(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{`{`, "record: row t/n: .*"},
@@ -68,7 +69,8 @@
 	qt.Assert(t, err, qt.ErrorMatches, "record: row t/zz: id.*")
 }
 
-// TestLayout: a job's rows have one part, jobs are spread over all, and an expiry names the rows that go with it.
+// TestLayout checks that jobs are distributed over all parts, and that an expiry leads to all rows of its job. Rows that it
+// misses would never be deleted.
 func TestLayout(t *testing.T) {
 	l := record.Layout{Parts: 3}
 	seen := make(map[string]int)
@@ -86,7 +88,8 @@
 	qt.Assert(t, l.ExpiryKey(7, 92*time.Second).Name < due.To, qt.IsFalse)
 }
 
-// TestCounted: whether an ended job's row says that a run was counted.
+// TestCounted checks which runs the row of an ended job reports as counted. A wrong answer makes agents discard an end, or
+// withhold it for ever.
 func TestCounted(t *testing.T) {
 	complete := record.EndedJob{State: verdict.Complete, Runs: record.Ends{{Index: 1, Run: 5}}}
 	failed := record.EndedJob{State: verdict.Failed}
@@ -100,7 +103,8 @@
 	}
 }
 
-// TestCrashes: crashes are read as they were added, those of a loss that was refuted are dropped, and there is a bound.
+// TestCrashes checks that crashes are returned as they were added, that the crashes of a refuted loss are removed, and that
+// their number is bounded.
 func TestCrashes(t *testing.T) {
 	var open record.OpenJob
 	lost := fleet.Crash{
