--- a/internal/config/object/object.go
+++ b/internal/config/object/object.go
@@ -1,4 +1,4 @@
-// Package object defines the kinds of configuration that operators change, and checks them field by field.
+// Package object defines the kinds of configuration objects that operators change, and validates them field by field.
 package object
 
 import (
@@ -23,86 +23,87 @@
 	KindZone      Kind = "zone"
 )
 
-// Kinds lists all kinds, in the order in which a file should create them.
+// Kinds lists all kinds in the order in which a configuration file should create them.
 var Kinds = []Kind{KindService, KindPool, KindUpstream, KindObjective, KindZone}
 
-// Name is an object's name, unique in its kind.
+// Name is an object's name, which is unique within its kind.
 type Name string
 
-// Ref names an object.
+// Ref identifies an object.
 type Ref struct {
 	Kind Kind `json:"kind"`
 	Name Name `json:"name"`
 }
 
-// String prints kind/name.
+// String returns kind/name.
 func (r Ref) String() string { return string(r.Kind) + "/" + string(r.Name) }
 
 // Object is one object at one version.
 type Object struct {
 	Ref
-	// Version is the configuration's version that brought the object's last change.
+	// Version is the version of the configuration at which the object was last changed.
 	Version uint64 `json:"version"`
-	// Spec is the object's content; its type follows from the kind.
+	// Spec is the object's content. Its type depends on the kind.
 	Spec json.RawMessage `json:"spec"`
 }
 
-// Service is a kind of work.
+// Service is a kind of work that upstreams offer.
 type Service struct {
-	// MaxTasks bounds a job of this service; zero leaves it to the settings.
+	// MaxTasks bounds the tasks of a job of this service. Zero means that the limit of the settings applies.
 	MaxTasks int `json:"max_tasks,omitempty"`
-	// DeadlineMs is given to jobs that name none; zero is none.
+	// DeadlineMs is the deadline, in milliseconds, of jobs that have none of their own. Zero means no deadline.
 	DeadlineMs int `json:"deadline_ms,omitempty"`
 }
 
-// Pool says which upstreams serve a service.
+// Pool selects the upstreams that serve a service.
 type Pool struct {
 	Service Name `json:"service"`
-	// Selector is a Kubernetes label selector over upstreams' labels; empty matches all.
+	// Selector is a Kubernetes label selector over the labels of upstreams. An empty one matches all upstreams.
 	Selector string `json:"selector"`
 }
 
-// Upstream holds what operators say of an upstream.
+// Upstream is the configuration of an upstream.
 type Upstream struct {
 	Labels map[string]string `json:"labels,omitempty"`
 	// Cordoned upstreams get no new work.
 	Cordoned bool `json:"cordoned,omitempty"`
 }
 
-// Zone holds what operators say of an availability zone.
+// Zone is the configuration of an availability zone.
 type Zone struct {
-	// Cordoned: no upstream of the zone gets new work.
+	// Cordoned is true if no upstream of the zone gets new work.
 	Cordoned bool `json:"cordoned,omitempty"`
 }
 
 // Objective is a service-level objective.
 type Objective struct {
 	Service Name `json:"service"`
-	// WithinIdeal is how many times its ideal a job may take and still be good.
+	// WithinIdeal is how many times its ideal duration a job may take to count as fast. At least 1.
 	WithinIdeal float64 `json:"within_ideal"`
-	// FastShare is the share of complete jobs that must be within it.
+	// FastShare is the share of complete jobs that must be fast. Between 0 and 1, exclusively.
 	FastShare float64 `json:"fast_share"`
-	// CompleteShare is the share of jobs that must be complete.
+	// CompleteShare is the share of jobs that must be complete. Between 0 and 1, exclusively.
 	CompleteShare float64 `json:"complete_share"`
 }
 
-// FieldError refuses one field.
+// FieldError is the error of an invalid field.
 type FieldError struct{ Field, Reason string }
 
-// Error names the field and the reason.
+// Error returns the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 func newFieldError(field, format string, args ...any) error {
 	return &FieldError{field, fmt.Sprintf(format, args...)}
 }
 
-// namePattern is what a name looks like: it becomes part of a table key and of a path.
+// namePattern matches a valid name. Names are part of table keys and of URL paths.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9_.-]{0,61}[a-z0-9])?$`)
 
-// Check decodes a spec strictly and refuses what can't be meant, naming the field.
+// Check validates an object. It refuses unknown kinds, invalid names, unknown fields and values that are out of bounds. Its
+// error is a *FieldError.
 func Check(r Ref, spec json.RawMessage) error {
 	if !namePattern.MatchString(string(r.Name)) {
-		return newFieldError("name", "want small letters, digits, '-', '_' and '.', at most 63, not %q", r.Name)
+		return newFieldError("name", "want at most 63 lower-case letters, digits, '-', '_' and '.', with a letter or digit first and last, not %q", r.Name)
 	}
 	switch r.Kind {
 	case KindService:
@@ -122,10 +123,10 @@
 		return firstError(decode(spec, &s), checkName("service", &s.Service), checkAtLeastOne("within_ideal", &s.WithinIdeal),
 			checkShare("fast_share", &s.FastShare), checkShare("complete_share", &s.CompleteShare))
 	}
-	return newFieldError("kind", "no such kind %q; there are %v", r.Kind, Kinds)
+	return newFieldError("kind", "unknown kind %q; the kinds are %v", r.Kind, Kinds)
 }
 
-// check is a check that runs only once the spec was decoded.
+// check is a check that runs only after the spec was decoded.
 type check func() error
 
 func firstError(decoded error, checks ...check) error {
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// decode refuses fields that the kind does not have.
+// decode decodes a spec strictly: unknown fields and trailing values are errors.
 func decode(spec json.RawMessage, into any) error {
 	d := json.NewDecoder(bytes.NewReader(spec))
 	d.DisallowUnknownFields()
@@ -160,7 +161,7 @@
 func checkNotNegative(field string, v *int) check {
 	return func() error {
 		if *v < 0 {
-			return newFieldError(field, "must not be negative")
+			return newFieldError(field, "must be at least 0, is %d", *v)
 		}
 		return nil
 	}
@@ -198,7 +199,7 @@
 func checkAtLeastOne(field string, v *float64) check {
 	return func() error {
 		if *v < 1 {
-			return newFieldError(field, "must be at least 1")
+			return newFieldError(field, "must be at least 1, is %v", *v)
 		}
 		return nil
 	}
@@ -207,13 +208,13 @@
 func checkShare(field string, v *float64) check {
 	return func() error {
 		if *v <= 0 || *v >= 1 {
-			return newFieldError(field, "must lie between 0 and 1")
+			return newFieldError(field, "must be greater than 0 and less than 1, is %v", *v)
 		}
 		return nil
 	}
 }
 
-// As decodes a spec that was checked before.
+// DecodeSpec decodes the spec of an object that was validated by Check.
 func DecodeSpec[T any](o Object) (T, error) {
 	var v T
 	err := json.Unmarshal(o.Spec, &v)
