--- a/internal/config/cordon/cordon.go
+++ b/internal/config/cordon/cordon.go
@@ -1,10 +1,10 @@
-// Package cordon keeps which availability zones operators have cordoned: no upstream of such a zone is given new work until the
-// cordon is lifted, while what runs there goes on to its end.
+// Package cordon tracks which availability zones operators have cordoned. No upstream of a cordoned zone is given new work until the
+// cordon is lifted; work that is running there continues to its end.
 //
-// Cordons are rows of the platform's store. What a process knows of one table is a Snapshot: all cordons in it as of one version of
-// the store. That version only grows, and at one version a table has one content. So a process believes the snapshot with
-// the highest version, whoever has told it: news that a cordon was asked for, lifted and asked for again are told in
-// the right order however they travel.
+// Cordons are rows of the platform's store. A Snapshot holds all cordons of one table at one version of the store. Versions only
+// grow, and a table has exactly one content at each version. A process therefore adopts the snapshot with the highest version,
+// whoever sent it. If a cordon is set, lifted and set again, all processes end with the last state, in whatever order the
+// snapshots arrive.
 package cordon
 
 import (
@@ -17,40 +17,41 @@
 	"hillreel/internal/core/rule"
 )
 
-// Source names a table that holds cordons.
+// Source identifies a table that holds cordons.
 type Source string
 
-// The sources. A zone is cordoned while any of them says so.
+// The sources. A zone is cordoned if at least one source cordons it.
 const (
-	// Platform: the platform's operators ask for it.
+	// Platform: cordons that operators of the platform set.
 	Platform Source = "platform"
-	// Objects: an object of hillreel's own configuration.
+	// Objects: cordons in objects of hillreel's own configuration.
 	Objects Source = "objects"
 )
 
-// Sources lists the sources that must be known before work is given to an upstream.
+// Sources lists the sources. A snapshot of each must be known before work is given to an upstream.
 var Sources = []Source{Platform, Objects}
 
-// Snapshot is all that one source says at one version of the store.
+// Snapshot holds all cordons of one source at one version of the store.
 type Snapshot struct {
 	Source  Source
 	Version rows.Version
-	// Zones are the zones that are cordoned, in order and each once.
+	// Zones are the cordoned zones, sorted and without duplicates.
 	Zones []ident.Zone
 }
 
-// Set is what one process knows. One goroutine uses it.
+// Set holds the newest snapshots that one process knows. One goroutine uses it.
 type Set struct {
-	// by has at most one snapshot of each source, and its version only grows.
+	// newest holds the newest known snapshot of each source. Its version only grows.
 	newest  map[Source]Snapshot
 	without rule.Set
 }
 
-// NewSet returns a Set that knows nothing. without leaves out safety rules, for experiments only.
+// NewSet returns a Set without snapshots. without disables safety rules, for experiments only.
 func NewSet(without rule.Set) *Set { return &Set{make(map[Source]Snapshot), without} }
 
-// Adopt takes in a snapshot, and tells whether it was news: an older one, or one of a source that isn't known, changes nothing, and
-// one that says the same is believed from its version on.
+// Adopt stores a snapshot if it is newer than the known one of its source. It reports whether the cordons of the source are known
+// for the first time or have changed. A snapshot that is not newer, or whose source is not in Sources, is ignored. A newer one with
+// the same content only raises the version.
 func (s *Set) Adopt(n Snapshot) bool {
 	have, known := s.newest[n.Source]
 	older := n.Version < have.Version && !s.without.Has(rule.CordonOrder)
@@ -61,10 +62,10 @@
 	return !known || !slices.Equal(n.Zones, have.Zones)
 }
 
-// Known tells whether every source was heard of.
+// Complete reports whether a snapshot of every source is known.
 func (s *Set) Complete() bool { return len(s.newest) == len(Sources) }
 
-// Cordoned tells whether a zone is cordoned, as far as is known.
+// Cordoned reports whether a zone is cordoned by any known snapshot.
 func (s *Set) Cordoned(z ident.Zone) bool {
 	for _, have := range s.newest {
 		if slices.Contains(have.Zones, z) {
@@ -74,7 +75,7 @@
 	return false
 }
 
-// Zones lists the zones that are cordoned, as far as is known, in order.
+// Zones returns the zones that the known snapshots cordon, sorted and without duplicates.
 func (s *Set) Zones() []ident.Zone {
 	var out []ident.Zone
 	for _, have := range s.newest {
@@ -84,7 +85,7 @@
 	return slices.Compact(out)
 }
 
-// All lists the snapshots in the order of their sources.
+// Snapshots returns the known snapshots, sorted by source.
 func (s *Set) Snapshots() []Snapshot {
 	return slices.SortedFunc(maps.Values(s.newest), func(a, b Snapshot) int { return cmp.Compare(a.Source, b.Source) })
 }
--- a/internal/config/cordon/peer.go
+++ b/internal/config/cordon/peer.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// Peer is what the process at the other end of a link knows of cordons, as far as is known here. With it processes tell each other only
-// what differs: the store's version rises with every write of anybody, so that two of them seldom read a table at the same one.
+// Peer tracks what the process at the other end of a link knows of cordons. It lets processes send each other only snapshots whose
+// content differs. Versions alone are no reason to send one: the store's version rises with every write to any table, so two
+// processes seldom read a table at the same version.
 type Peer struct{ known map[Source]Snapshot }
 
-// NewPeer returns a Peer of which nothing is known.
+// NewPeer returns a Peer whose knowledge is unknown, so that it is sent every snapshot.
 func NewPeer() *Peer { return &Peer{make(map[Source]Snapshot)} }
 
-// NewOpenPeer returns a Peer that takes all zones for open until it is told otherwise, so that it needs to hear of cordons only.
+// NewPeerWithoutCordons returns a Peer that assumes that no zone is cordoned, so that it is sent only snapshots with cordons.
 func NewPeerWithoutCordons() *Peer {
 	p := NewPeer()
 	for _, source := range Sources {
@@ -18,24 +19,24 @@
 	return p
 }
 
-// Heard notes what the peer has told.
+// RecordReceived records a snapshot that the peer has sent.
 func (p *Peer) RecordReceived(s Snapshot) {
 	if have, known := p.known[s.Source]; !known || s.Version >= have.Version {
 		p.known[s.Source] = s
 	}
 }
 
-// Due lists the snapshots that the peer should be told, and notes them as told: those that are newer than what it knows and say
-// something else. What it has told of an older version is answered that way.
-func (p *Peer) TakeDue(all []Snapshot) []Snapshot {
-	var out []Snapshot
-	for _, s := range all {
+// TakeDue returns the snapshots to send to the peer and records them as sent. These are the snapshots that are newer than what the
+// peer knows and have other content. A peer that has sent an outdated snapshot is thereby sent the newer one.
+func (p *Peer) TakeDue(snapshots []Snapshot) []Snapshot {
+	var due []Snapshot
+	for _, s := range snapshots {
 		have, known := p.known[s.Source]
 		if known && (s.Version <= have.Version || slices.Equal(s.Zones, have.Zones)) {
 			continue
 		}
 		p.known[s.Source] = s
-		out = append(out, s)
+		due = append(due, s)
 	}
-	return out
+	return due
 }
--- a/internal/config/cordon/reader.go
+++ b/internal/config/cordon/reader.go
@@ -11,35 +11,35 @@
 	"hillreel/internal/core/rows"
 )
 
-// Table is a table of the store that holds cordons, perhaps beside other rows.
+// Table is a table of the store that holds cordons, possibly among other rows.
 type Table struct {
 	Source Source
 	Name   rows.Table
-	// Decode returns the zone that a row cordons; an empty one is a row about something else. Its error says why a row that should
-	// name a zone names none.
+	// Decode returns the zone that a row cordons, or an empty zone if the row is not a cordon. It returns an error if the row should
+	// be a cordon but can't be decoded.
 	Decode func(r rows.Row) (ident.Zone, error)
 }
 
-// Reader makes snapshots of a table's changes. A follow.Follower feeds it.
+// Reader turns the changes of a table into snapshots. A follow.Follower passes it the changes.
 type Reader struct {
 	table   Table
 	publish func(Snapshot)
 	log     *logrus.Entry
-	// zones are the cordons by their rows' names; published is false until the table was read.
+	// zones are the cordoned zones by the names of their rows. published is true once the first snapshot was published.
 	zones     map[string]ident.Zone
 	published bool
 }
 
-// NewReader returns a Reader that publishes the first snapshot and each one that differs from the one before.
+// NewReader returns a Reader that calls publish with the first snapshot and with each one that differs from its predecessor.
 func NewReader(t Table, publish func(Snapshot), log *logrus.Entry) *Reader {
 	return &Reader{table: t, publish: publish, log: log, zones: make(map[string]ident.Zone)}
 }
 
-// Change takes in changes of the table; it is a follow.Change.
+// ApplyChanges applies changes of the table and publishes the resulting snapshot if it differs. It is a follow.Handler.
 func (r *Reader) ApplyChanges(c follow.Changes) {
 	before := r.sortedZones()
 	if c.Complete {
-		clear(r.zones) // rows that have gone are not told again
+		clear(r.zones) // a whole table does not list the rows that were removed
 	}
 	for _, row := range c.Rows {
 		r.applyRow(row)
@@ -52,7 +52,8 @@
 	r.publish(Snapshot{Source: r.table.Source, Version: c.Version, Zones: now})
 }
 
-// take takes in one row. One that can't be read may be another writer's: it cordons nothing, and the others hold.
+// applyRow applies one row. A row that can't be decoded may have been written by another program: it is logged and cordons nothing,
+// and all other cordons stay in force.
 func (r *Reader) applyRow(row rows.Row) {
 	delete(r.zones, row.Key.Name)
 	if row.Removed {
@@ -68,7 +69,7 @@
 	}
 }
 
-// list returns the zones that are cordoned, in order and each once.
+// sortedZones returns the cordoned zones, sorted and without duplicates.
 func (r *Reader) sortedZones() []ident.Zone {
 	return slices.Compact(slices.Sorted(maps.Values(r.zones)))
 }
--- a/internal/config/store/copy.go
+++ b/internal/config/store/copy.go
@@ -11,7 +11,7 @@
 	"hillreel/internal/core/ident"
 )
 
-// Copy is an entry's copy of all objects. A follow.Follower feeds it.
+// Replica is an entry's replica of all objects. A follow.Follower passes it the changes.
 type Replica struct {
 	log      *logrus.Entry
 	onChange func(*view.View)
@@ -21,9 +21,9 @@
 	view    *view.View
 }
 
-// NewCopy returns an empty Copy; changed is called with each new view.
-func NewReplica(changed func(*view.View), log *logrus.Entry) *Replica {
-	return &Replica{log: log, onChange: changed, objects: make(map[string]object.Object), view: view.New(0, nil)}
+// NewReplica returns an empty Replica. onChange is called with each new view.
+func NewReplica(onChange func(*view.View), log *logrus.Entry) *Replica {
+	return &Replica{log: log, onChange: onChange, objects: make(map[string]object.Object), view: view.New(0, nil)}
 }
 
 // View returns the newest view.
@@ -33,8 +33,8 @@
 	return c.view
 }
 
-// Change takes in changes of Objects; it is a follow.Change. The view's version is the newest object's: one that is
-// deleted takes nothing back.
+// ApplyChanges applies changes of the table Objects and publishes a new view. It is a follow.Handler. The view's version
+// is the highest version of any object seen so far; the deletion of an object does not lower it.
 func (c *Replica) ApplyChanges(ch follow.Changes) {
 	c.mu.Lock()
 	if ch.Complete {
--- a/internal/config/store/cordon.go
+++ b/internal/config/store/cordon.go
@@ -9,10 +9,10 @@
 	"hillreel/internal/core/rows"
 )
 
-// Cordons are the zones that objects cordon.
+// Cordons is the table of the zones that configuration objects cordon.
 var Cordons = cordon.Table{Source: cordon.Objects, Name: Objects, Decode: readCordon}
 
-// readCordon returns the zone that an object cordons, or none.
+// readCordon returns the zone that an object cordons. It is empty if the object cordons no zone.
 func readCordon(row rows.Row) (ident.Zone, error) {
 	if !strings.HasPrefix(row.Key.Name, string(object.KindZone)+"/") {
 		return "", nil
--- a/internal/config/store/store.go
+++ b/internal/config/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps the objects that operators change in the platform's store: one row an object, one head row
-// whose version counts all accepted changes, one audit row a change. A change takes effect in one transaction.
+// Package store holds the configuration objects that operators change in the platform's store. There is one row per object, one
+// audit row per change, and one head row whose content counts all accepted changes. A change takes effect in one transaction.
 package store
 
 import (
@@ -16,67 +16,67 @@
 	"hillreel/internal/core/verdict"
 )
 
-// The tables. All rows have an empty part, since a change touches one of each.
+// The tables. All rows are in the empty part, because the transaction of a change writes to each of the tables.
 const (
-	// Objects is followed by all entries.
+	// Objects has a row for each object. All entries follow this table.
 	Objects     rows.Table = "hillreel_objects"
 	headTable   rows.Table = "hillreel_head"
 	auditTable  rows.Table = "hillreel_audit"
 	changeTable rows.Table = "hillreel_changes"
 )
 
-// headName is the only row of heads.
+// headName is the name of the only row of headTable.
 const headName = "config"
 
-// maxRaces bounds how often a change is tried again because another one moved the head.
+// maxTries bounds the attempts of a change, which fails whenever another change has written the head row meanwhile.
 const maxTries = 50
 
-// Rows is what a Store needs of the platform's store.
+// Rows is the part of the platform's store that a Store uses.
 type Rows interface {
 	Read(ctx context.Context, k rows.Key) (rows.Row, error)
 	List(ctx context.Context, table rows.Table, part string) (rows.Page, error)
 	Commit(ctx context.Context, t rows.Txn) (rows.Version, error)
 }
 
-// Change is one change that an operator asks for.
+// Change is a change that an operator requests.
 type Change struct {
-	// ID makes the change take effect once, however often it is sent.
+	// ID identifies the change. A change takes effect only once, however often it is sent.
 	ID  string     `json:"id"`
 	Who string     `json:"who"`
 	Ref object.Ref `json:"ref"`
-	// If is the object's version that the operator saw; zero creates.
+	// If is the version of the object that the operator saw. Zero means that the object does not exist.
 	If uint64 `json:"if"`
-	// Spec is the new content; nil deletes.
+	// Spec is the object's new content. Nil deletes the object.
 	Spec json.RawMessage `json:"spec,omitempty"`
 }
 
-// Audit says who changed what, when, and from which version to which.
+// Audit is the record of an accepted change: who changed which object, when, and from which version to which.
 type Audit struct {
 	Version ident.ConfigVersion `json:"version"`
 	When    time.Time           `json:"when"`
 	Change
-	// To is the object's version afterwards; zero when deleted.
+	// To is the object's version after the change, or zero if the change deleted it.
 	To uint64 `json:"to"`
 }
 
-// Conflict says that the object has another version than the operator saw.
+// Conflict is the error of a change whose object has another version than the operator saw.
 type Conflict struct {
-	// Present is the object as it is; its version is zero if there is none.
+	// Current is the object as it is now. Its version is zero if the object does not exist.
 	Current object.Object
 }
 
-// Error names the present version.
+// Error returns the object and its current version.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("%s has version %d now", c.Current.Ref, c.Current.Version)
 }
 
-// Store reads and changes configuration.
+// Store reads and changes configuration objects.
 type Store struct {
 	rows Rows
 	now  func() time.Time
 }
 
-// New returns a Store.
+// New returns a Store. now returns the time of audits.
 func New(r Rows, now func() time.Time) *Store { return &Store{r, now} }
 
 // head is the value of the head row.
@@ -84,7 +84,7 @@
 	Version ident.ConfigVersion `json:"version"`
 }
 
-// head returns the head row's content and the row's own version; both are zero before the first change.
+// readHead returns the content of the head row and the row's own version. Both are zero before the first change.
 func (s *Store) readHead(ctx context.Context) (head, rows.Version, error) {
 	row, err := s.rows.Read(ctx, rows.Key{Table: headTable, Name: headName})
 	if err != nil || row.Version == 0 {
@@ -95,20 +95,23 @@
 	return h, row.Version, errors.Wrap(err, "config: head row")
 }
 
-// Apply does a change. Its errors are a *Conflict, or a *verdict.Error: not_run, or may_have_run when the
-// table's answer was lost and could not be read back; the same change may then be sent again.
+// Apply carries out a change. Its error is one of:
+//   - a *Conflict;
+//   - a *verdict.Error with verdict not_run if nothing was changed;
+//   - a *verdict.Error with verdict may_have_run if the store's answer was lost and the outcome could not be read back. The same
+//     change may then be sent again.
 func (s *Store) Apply(ctx context.Context, c Change) (Audit, error) {
 	for range maxTries {
-		audit, again, err := s.tryApply(ctx, c)
-		if !again {
+		audit, retry, err := s.tryApply(ctx, c)
+		if !retry {
 			return audit, err
 		}
 	}
-	return Audit{}, verdict.New(verdict.NotRun, verdict.Overloaded, "too many changes at once; try again")
+	return Audit{}, verdict.New(verdict.NotRun, verdict.Overloaded, "too many concurrent changes; try again")
 }
 
-// try attempts a change once; again is true when only the head had moved.
-func (s *Store) tryApply(ctx context.Context, c Change) (audit Audit, again bool, err error) {
+// tryApply attempts a change once. retry is true if a concurrent change has won.
+func (s *Store) tryApply(ctx context.Context, c Change) (audit Audit, retry bool, err error) {
 	if done, err := s.findApplied(ctx, c); err != nil || done != nil {
 		return auditOrZero(done), false, err
 	}
@@ -125,7 +128,7 @@
 	}
 	audit = Audit{Version: h.Version + 1, When: s.now(), Change: c}
 	if c.Spec != nil {
-		// Versions never come again, also when an object is deleted and made anew.
+		// The version of the configuration only grows, so that an object which is deleted and created again gets a new version.
 		audit.To = uint64(audit.Version)
 	}
 	txn, err := buildTxn(audit, headRow, objectRow)
@@ -144,7 +147,7 @@
 	return s.readBack(ctx, c, err)
 }
 
-// readBack finds out what became of a write whose answer was lost.
+// readBack determines the outcome of a write whose answer was lost. lost is the error of that write.
 func (s *Store) readBack(ctx context.Context, c Change, lost error) (Audit, bool, error) {
 	done, err := s.findApplied(ctx, c)
 	switch {
@@ -156,7 +159,7 @@
 	return Audit{}, false, &verdict.Error{Verdict: verdict.MayHaveRun, Reason: verdict.Unreachable, Cause: lost}
 }
 
-// done returns the audit of a change that has taken effect before, or nil.
+// findApplied returns the audit of a change that has taken effect already, or nil.
 func (s *Store) findApplied(ctx context.Context, c Change) (*Audit, error) {
 	row, err := s.rows.Read(ctx, rows.Key{Table: changeTable, Name: c.ID})
 	if err != nil {
@@ -170,7 +173,7 @@
 		return nil, errors.Wrap(err, "config: change row")
 	}
 	if a.Ref != c.Ref || a.If != c.If {
-		return nil, verdict.New(verdict.NotRun, verdict.BadRequest, "change_id: was used for another change")
+		return nil, verdict.New(verdict.NotRun, verdict.BadRequest, "change_id: was used for another change, of "+a.Ref.String())
 	}
 	return &a, nil
 }
@@ -182,7 +185,7 @@
 	return *a
 }
 
-// notRun marks an error of a read: nothing was written.
+// notRun wraps an error after which it is certain that nothing was written.
 func notRun(err error) error {
 	return &verdict.Error{Verdict: verdict.NotRun, Reason: verdict.Unreachable, Cause: err}
 }
@@ -198,14 +201,14 @@
 	return o, row.Version, err
 }
 
-// readObject decodes a row of Objects.
+// readObject decodes a row of the table Objects.
 func readObject(row rows.Row) (object.Object, error) {
 	var o object.Object
 	err := json.Unmarshal(row.Value, &o)
 	return o, errors.Wrapf(err, "config: row %s", row.Key.Name)
 }
 
-// transaction writes head, object, audit row and change row, all or none.
+// buildTxn returns the transaction that writes the head, object, audit and change rows together.
 func buildTxn(a Audit, headRow, objectRow rows.Version) (rows.Txn, error) {
 	var txn rows.Txn
 	put := func(k rows.Key, present rows.Version, value any) error {
@@ -236,7 +239,7 @@
 	return object.Object{Ref: a.Ref, Version: a.To, Spec: a.Spec}
 }
 
-// History returns the audit trail, oldest first, of one object or, with an empty ref, of all.
+// History returns the audit trail of one object, or of all objects if r is empty, oldest first.
 func (s *Store) History(ctx context.Context, r object.Ref) ([]Audit, error) {
 	page, err := s.rows.List(ctx, auditTable, "")
 	if err != nil {
--- a/internal/config/view/view.go
+++ b/internal/config/view/view.go
@@ -1,4 +1,4 @@
-// Package view holds one version of the objects that operators change, with its selectors parsed for the hot path.
+// Package view holds one version of the configuration objects, with the label selectors parsed in advance for the hot path.
 package view
 
 import (
@@ -12,13 +12,13 @@
 	"hillreel/internal/core/ident"
 )
 
-// Labels that every upstream has without an operator's doing.
+// Labels that every upstream has without configuration.
 const (
 	LabelZone     = "zone"
 	LabelUpstream = "upstream"
 )
 
-// View is one version of the configuration.
+// View is one version of the configuration. It does not change once it is built.
 type View struct {
 	Version   ident.ConfigVersion
 	objects   []object.Object
@@ -28,8 +28,7 @@
 	zones     map[ident.Zone]object.Zone
 }
 
-// New compiles objects, in the order of their names. Objects that can't be read are left out: they were checked
-// when accepted.
+// New returns a View of objects. Objects that can't be decoded are ignored, because objects are validated before they are accepted.
 func New(version ident.ConfigVersion, objects []object.Object) *View {
 	v := &View{
 		Version: version, objects: slices.Clone(objects), pools: make(map[ident.Service][]labels.Selector),
@@ -43,7 +42,7 @@
 	return v
 }
 
-// List returns the objects of a kind, or of all with an empty one.
+// List returns the objects of a kind, or all objects if kind is empty, sorted by kind and name.
 func (v *View) List(kind object.Kind) []object.Object {
 	var out []object.Object
 	for _, o := range v.objects {
@@ -54,7 +53,7 @@
 	return out
 }
 
-// Get returns one object.
+// Find returns an object, and whether it exists.
 func (v *View) Find(r object.Ref) (object.Object, bool) {
 	for _, o := range v.objects {
 		if o.Ref == r {
@@ -64,7 +63,7 @@
 	return object.Object{Ref: r}, false
 }
 
-// Objectives returns all service-level objectives.
+// Objectives returns the specs of all service-level objectives.
 func (v *View) Objectives() []object.Objective {
 	var out []object.Objective
 	for _, o := range v.List(object.KindObjective) {
@@ -100,8 +99,8 @@
 	}
 }
 
-// Serves tells whether configuration lets an upstream serve a service: neither it nor its zone is cordoned, and a pool of
-// the service selects it. A service without pools is served by every upstream that offers it.
+// Serves reports whether the configuration allows an upstream to serve a service. Neither the upstream nor its zone may be
+// cordoned, and a pool of the service must select the upstream. If the service has no pools, any upstream may serve it.
 func (v *View) Serves(u ident.UpstreamName, zone ident.Zone, s ident.Service) bool {
 	if v.upstreams[u].Cordoned || v.zones[zone].Cordoned {
 		return false
@@ -119,7 +118,7 @@
 	return false
 }
 
-// Labels returns all labels of an upstream.
+// Labels returns the configured labels of an upstream, with LabelZone and LabelUpstream.
 func (v *View) Labels(u ident.UpstreamName, zone ident.Zone) labels.Set {
 	set := labels.Set{}
 	for k, val := range v.upstreams[u].Labels {
@@ -129,15 +128,15 @@
 	return set
 }
 
-// MaxTasks bounds a job of a service; zero is no bound of its own.
+// MaxTasks returns the maximum number of tasks in a job of a service. Zero means that the service has no limit of its own.
 func (v *View) MaxTasks(s ident.Service) int { return v.services[s].MaxTasks }
 
-// Deadline is given to a service's jobs that name none; zero is none.
+// Deadline returns the deadline of a service's jobs that have none of their own. Zero means no deadline.
 func (v *View) Deadline(s ident.Service) time.Duration {
 	return time.Duration(v.services[s].DeadlineMs) * time.Millisecond
 }
 
-// Knows tells whether jobs of a service are taken. Without any service object all are.
+// Knows reports whether jobs of a service are accepted. If no service is configured, jobs of all services are.
 func (v *View) Knows(s ident.Service) bool {
 	if len(v.services) == 0 {
 		return true
