--- a/internal/config/object/object.go
+++ b/internal/config/object/object.go
@@ -103,7 +103,7 @@
 // error is a *FieldError.
 func Check(r Ref, spec json.RawMessage) error {
 	if !namePattern.MatchString(string(r.Name)) {
-		return newFieldError("name", "want at most 63 lower-case letters, digits, '-', '_' and '.', with a letter or digit first and last, not %q", r.Name)
+		return newFieldError("name", "want 1 to 63 of a-z, 0-9, '-', '_' and '.', with a letter or digit at both ends, not %q", r.Name)
 	}
 	switch r.Kind {
 	case KindService:
--- a/internal/kept/claims/claims.go
+++ b/internal/kept/claims/claims.go
@@ -149,7 +149,9 @@
 	started := &claim{remaining: make(map[job.ID]bool)}
 	c.claims[id] = started
 	next := record.Lease{Node: l.Node, UntilMs: (clock + c.opts.LeaseDuration).Milliseconds(), Adopter: c.ownLease.ID()}
-	c.opts.LogEvent(logrus.InfoLevel, "lease_claimed", logrus.Fields{"lease": id, "node": l.Node, "ended_ms_ago": (clock - l.Until()).Milliseconds()})
+	c.opts.LogEvent(logrus.InfoLevel, "lease_claimed", logrus.Fields{
+		"lease": id, "node": l.Node, "ended_ms_ago": (clock - l.Until()).Milliseconds(),
+	})
 	c.store.Write(jobstore.Op{NoRetry: true, Txn: rows.Txn{
 		If:  []rows.Condition{{Key: row.Key, Version: row.Version}},
 		Put: []rows.Row{{Key: row.Key, Value: record.EncodeLogged(c.opts.Log, next)}},
--- a/internal/kept/jobstore/read.go
+++ b/internal/kept/jobstore/read.go
@@ -118,10 +118,10 @@
 		}
 		// Whatever the error was, the next read of the rows shows whether the cancellation was done.
 		if ctx.Err() != nil {
-			return "", errors.Wrap(ctx.Err(), "ledger: cancel")
+			return "", errors.Wrap(ctx.Err(), "jobstore: cancel")
 		}
 	}
-	return "", errors.Errorf("ledger: cancel: lost %d races", maxCancelTries)
+	return "", errors.Errorf("jobstore: cancel job %s: gave up after %d attempts", id, maxCancelTries)
 }
 
 // cancelTxn returns the transaction that cancels a job.
