--- a/internal/config/object/object_test.go
+++ b/internal/config/object/object_test.go
@@ -10,6 +10,7 @@
 	"hillreel/internal/config/object"
 )
 
+// TestCheck checks that an invalid object is refused with the name of the invalid field, and that a valid one is accepted.
 func TestCheck(t *testing.T) {
 	for _, test := range []struct {
 		kind  object.Kind
--- a/internal/kept/jobstore/ledger.go
+++ b/internal/kept/jobstore/ledger.go
@@ -61,8 +61,9 @@
 	Found []rows.Row
 }
 
-// The timeout of a write, which usually takes 10 ms. A lost answer delays all writes to its part, so the timeout is short. A
-// timeout that is too short does no harm: it repeats a write whose conditions prevent it from being done twice.
+// The timeout of a write is timeoutFactor times the usual duration of a call, but at least minTimeout and at most maxTimeout. A
+// write usually takes 10 ms. The timeout is short because a lost answer delays all writes to its part. A timeout that is too
+// short does no harm: it repeats a write whose conditions prevent it from being done twice.
 const (
 	minTimeout    = 50 * time.Millisecond
 	maxTimeout    = time.Second
--- a/internal/kept/jobstore/ledger_test.go
+++ b/internal/kept/jobstore/ledger_test.go
@@ -67,9 +67,9 @@
 func start(t *testing.T, answer func(rows.Txn) error) (*fake, *jobstore.Writer, chan jobstore.Result) {
 	f := &fake{answer: answer}
 	results := make(chan jobstore.Result, 100)
-	l := jobstore.New(f, func(r jobstore.Result) { results <- r }, logs.Discard())
-	t.Cleanup(l.Stop)
-	return f, l, results
+	w := jobstore.New(f, func(r jobstore.Result) { results <- r }, logs.Discard())
+	t.Cleanup(w.Stop)
+	return f, w, results
 }
 
 func wait(t *testing.T, results chan jobstore.Result) jobstore.Result {
@@ -85,12 +85,12 @@
 // TestWritesAreGrouped checks that writes that are queued while another one is in progress are committed together. Otherwise
 // each would wait for a transaction of its own.
 func TestWritesAreGrouped(t *testing.T) {
-	f, l, results := start(t, func(rows.Txn) error { return nil })
+	f, w, results := start(t, func(rows.Txn) error { return nil })
 	f.commitGate.Lock()
-	l.Write(op(1))
+	w.Write(op(1))
 	time.Sleep(50 * time.Millisecond)
 	for i := 2; i <= 6; i++ {
-		l.Write(op(i))
+		w.Write(op(i))
 	}
 	f.commitGate.Unlock()
 	for range 6 {
@@ -101,10 +101,10 @@
 
 // TestGroupsAreBounded guards against transactions of more than 100 entries, which the platform does not accept.
 func TestGroupsAreBounded(t *testing.T) {
-	f, l, results := start(t, func(rows.Txn) error { return nil })
+	f, w, results := start(t, func(rows.Txn) error { return nil })
 	f.commitGate.Lock()
 	for i := range 300 {
-		l.Write(op(i))
+		w.Write(op(i))
 	}
 	f.commitGate.Unlock()
 	for range 300 {
@@ -118,7 +118,7 @@
 // TestConflictOfOne checks that the other writes of a group are done if the condition of one does not hold, and that the
 // result of the latter holds the rows that the store has.
 func TestConflictOfOne(t *testing.T) {
-	f, l, results := start(t, func(t rows.Txn) error {
+	f, w, results := start(t, func(t rows.Txn) error {
 		for _, p := range t.Put {
 			if p.Key.Name == "3" {
 				return rows.ErrConflict
@@ -128,7 +128,7 @@
 	})
 	f.commitGate.Lock()
 	for i := 1; i <= 4; i++ {
-		l.Write(op(i))
+		w.Write(op(i))
 	}
 	f.commitGate.Unlock()
 	for range 4 {
@@ -156,15 +156,21 @@
 		want    jobstore.Outcome
 	}{
 		{"refused for a while", op(1), []error{rows.ErrRefused, rows.ErrRefused}, jobstore.Done},
-		{"refused until it is given up", soon(op(1)), []error{rows.ErrRefused, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, jobstore.Refused},
-		{"uncertain, then refused beyond GiveUpAt", soon(op(1)), []error{silent, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, jobstore.Done},
+		{
+			"refused until it is given up", soon(op(1)),
+			[]error{rows.ErrRefused, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, jobstore.Refused,
+		},
+		{
+			"uncertain, then refused beyond GiveUpAt", soon(op(1)),
+			[]error{silent, rows.ErrRefused, rows.ErrRefused, rows.ErrRefused}, jobstore.Done,
+		},
 		{"uncertain, and it was done", op(1), []error{silent, rows.ErrConflict}, jobstore.Conflict},
 		{"no retry, refused", once(op(1)), []error{rows.ErrRefused}, jobstore.Refused},
 		{"no retry, uncertain", once(op(1)), []error{silent}, jobstore.Uncertain},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			left := test.answers
-			_, l, results := start(t, func(rows.Txn) error {
+			_, w, results := start(t, func(rows.Txn) error {
 				if len(left) == 0 {
 					return nil
 				}
@@ -172,7 +178,7 @@
 				left = left[1:]
 				return err
 			})
-			l.Write(test.op)
+			w.Write(test.op)
 			qt.Assert(t, wait(t, results).Outcome, qt.Equals, test.want)
 		})
 	}
@@ -182,19 +188,19 @@
 // Otherwise one lost answer would make the outcome of all later writes unknown. It also checks that the store counts as
 // unavailable when it does not answer.
 func TestNoDoubtBehindDoubt(t *testing.T) {
-	f, l, results := start(t, func(rows.Txn) error { return errors.New("no answer") })
-	l.Write(op(1))
+	f, w, results := start(t, func(rows.Txn) error { return errors.New("no answer") })
+	w.Write(op(1))
 	time.Sleep(50 * time.Millisecond)
 	o := op(2)
 	o.GiveUpAt = time.Now().Add(200 * time.Millisecond)
-	l.Write(o)
+	w.Write(o)
 	r := wait(t, results)
 	qt.Assert(t, r.ID, qt.Equals, jobstore.OpID(2))
 	qt.Assert(t, r.Outcome, qt.Equals, jobstore.Refused)
 	for _, n := range f.sizes() {
 		qt.Assert(t, n, qt.Equals, 1)
 	}
-	qt.Assert(t, l.Unavailable(), qt.IsFalse)
+	qt.Assert(t, w.Unavailable(), qt.IsFalse)
 	time.Sleep(time.Second)
-	qt.Assert(t, l.Unavailable(), qt.IsTrue)
+	qt.Assert(t, w.Unavailable(), qt.IsTrue)
 }
--- a/internal/kept/record/record_test.go
+++ b/internal/kept/record/record_test.go
@@ -45,7 +45,8 @@
 	for i := range uint32(1500) {
 		open.Ends = append(open.Ends, record.End{Step: i % 30, Index: i, Run: 1025})
 		open.AddCrash(fleet.Crash{
-			Task: job.TaskID{Step: i % 30, Index: i}, VM: "a-vm-with-quite-a-long-name-of-50-bytes-in-zone-abc", Life: ident.UpstreamLife{ID: "i-0123456789", Born: 1 << 41},
+			Task: job.TaskID{Step: i % 30, Index: i},
+			VM:   "a-vm-with-quite-a-long-name-of-50-bytes-in-zone-abc", Life: ident.UpstreamLife{ID: "i-0123456789", Born: 1 << 41},
 			Loss: 1 << 41, Age: time.Hour, MaxAge: time.Hour, Alone: true, OnlyTask: true,
 		})
 	}
@@ -108,7 +109,8 @@
 func TestCrashes(t *testing.T) {
 	var open record.OpenJob
 	lost := fleet.Crash{
-		Task: job.TaskID{Job: 7, Step: 1, Index: 2}, VM: "vm", Life: ident.UpstreamLife{ID: "i-1", Born: 5}, Loss: 9, Age: 10 * time.Millisecond, MaxAge: 20 * time.Millisecond, Alone: true, OnlyTask: true,
+		Task: job.TaskID{Job: 7, Step: 1, Index: 2}, VM: "vm", Life: ident.UpstreamLife{ID: "i-1", Born: 5},
+		Loss: 9, Age: 10 * time.Millisecond, MaxAge: 20 * time.Millisecond, Alone: true, OnlyTask: true,
 	}
 	again := lost
 	again.Loss = 10
