--- a/internal/entry/node/close_test.go
+++ b/internal/entry/node/close_test.go
@@ -20,7 +20,7 @@
 	"hillreel/internal/entry/node"
 )
 
-// mute is a store that never answers.
+// silentStore is a store that never answers.
 type silentStore struct{}
 
 func (silentStore) Commit(ctx context.Context, _ rows.Txn) (rows.Version, error) {
@@ -38,7 +38,8 @@
 	return rows.Page{}, ctx.Err()
 }
 
-// TestCloseAll: an entry that is about to end answers everybody at once, whatever they wait for, and those who come then too.
+// TestCloseAll guards against callers that get no answer when an entry stops: an entry that is about to stop answers all callers at once,
+// whatever they wait for, and also callers that arrive then.
 func TestCloseAll(t *testing.T) {
 	submit := func(keep bool) func(n *node.Node) (verdict.State, error) {
 		return func(n *node.Node) (verdict.State, error) {
@@ -52,7 +53,7 @@
 	for _, test := range []struct {
 		name string
 		ask  func(n *node.Node) (verdict.State, error)
-		// state is the answer, empty where an error says that nothing is known.
+		// state is the expected answer. It is empty where an error must say that the state is unknown.
 		state verdict.State
 	}{
 		{"a job", submit(false), verdict.Refused},
@@ -84,7 +85,7 @@
 	}
 }
 
-// takes is an observer that notes which jobs are taken.
+// takenObserver is an observer that records which jobs are taken.
 type takenObserver struct {
 	dispatch.Observer
 	jobs chan job.ID
@@ -95,8 +96,8 @@
 	o.jobs <- r.Job
 }
 
-// TestCallerGoneBeforeItsTurn guards against tasks that two entries run at once: a job whose caller has gone while its request waited for the control
-// goroutine is not taken.
+// TestCallerGoneBeforeItsTurn guards against two entries that run a task at once. A caller that has gone may have sent its job to another
+// entry, so this entry must not take a job whose caller went while the request waited for the control goroutine.
 func TestCallerGoneBeforeItsTurn(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
@@ -121,7 +122,7 @@
 	qt.Assert(t, <-o.jobs, qt.Equals, job.ID(2))
 }
 
-// TestTicksAreMeasured: how late the control goroutine's ticks are stands in the metrics, beside what is promised.
+// TestTicksAreMeasured checks that the metrics show how late the control goroutine's ticks are, beside the promised bound.
 func TestTicksAreMeasured(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/entry/node/config.go
+++ b/internal/entry/node/config.go
@@ -13,26 +13,27 @@
 	"hillreel/internal/link/wire"
 )
 
-// holders is about how many agents of each entry, at least, shall get a new configuration to pass on: some may be cut off. An agent is linked
-// to several entries and may get it from each of them.
+// minRelayAgents is the approximate minimum number of agents of each entry that get a new configuration to pass on. It is more than one
+// because some agents may be cut off. An agent is linked to several entries and may get the configuration from each of them.
 const minRelayAgents = 6
 
-// relays is to how many agents this entry passes a new configuration.
+// relayCount returns the number of agents to which this entry passes a new configuration.
 func (n *Node) relayCount() int {
 	shared := min(max(len(n.peers), 1), n.set.Links.Entries)
 	return (minRelayAgents + shared - 1) / shared
 }
 
-// Decoder decodes a configuration that another process has passed on.
+// Decoder decodes a configuration that an agent has passed on.
 type Decoder func(raw []byte) (*route.Table, error)
 
-// Configure puts a configuration in force that was read from the store; an older one changes nothing.
+// Configure puts a configuration from the store in force, unless the one in force is as new.
 func (n *Node) Configure(t *route.Table) { n.loop.Post(configured{table: t}) }
 
 // Routes returns the configuration in force, or nil before there is one.
 func (n *Node) Routes() *route.Table { return n.routes.Load() }
 
-// handleConfigured puts a configuration in force unless it is an older one; from is zero when the store had it.
+// handleConfigured puts a configuration in force unless the one in force is as new. from is the agent that passed it on, or zero
+// for the store.
 func (n *Node) handleConfigured(t *route.Table, from ident.Incarnation) {
 	have := n.routes.Load()
 	if have != nil && t.Version <= have.Version {
@@ -50,7 +51,7 @@
 	n.relay(t, from)
 }
 
-// relay passes a configuration to a few agents; they pass it to entries that the store turns away.
+// relay sends a configuration to a few agents. They pass it to entries whose calls the store refuses.
 func (n *Node) relay(t *route.Table, from ident.Incarnation) {
 	left := n.relayCount()
 	for l := range n.links.All() {
@@ -66,7 +67,7 @@
 	}
 }
 
-// handleRelayed takes in a configuration that an agent has passed on.
+// handleRelayedConfig handles a configuration that an agent has passed on.
 func (n *Node) handleRelayedConfig(l *link, m *wire.Config) {
 	l.Config = max(l.Config, ident.ConfigVersion(m.GetVersion()))
 	t, err := n.decode(m.GetRaw())
@@ -77,10 +78,10 @@
 	n.handleConfigured(t, l.Peer)
 }
 
-// SetEntries tells the node which entries there are, for agents that can't read the store.
+// SetEntries replaces the list of all entries, which the node sends to its agents because some of them can't read the store.
 func (n *Node) SetEntries(entries []fleet.Entry) { n.loop.Post(entriesListed{entries}) }
 
-// handleListed takes in which entries there are, for all agents to be told.
+// handleEntries stores a new list of entries. Later ticks send it to the agents.
 func (n *Node) handleEntries(entries []fleet.Entry) {
 	same := func(a, b fleet.Entry) bool { return a.Address == b.Address && slices.Equal(a.Wants, b.Wants) }
 	if slices.EqualFunc(n.peers, entries, same) {
@@ -91,11 +92,11 @@
 	n.log.WithField("entries", len(entries)).Info("entries_listed")
 }
 
-// peersTicks is within how many ticks all agents are told of a new list of entries: if they all were at once, a thin link would hold up orders
-// behind as many copies of it.
+// peersSpreadTicks is the number of ticks over which a new list of entries is sent to all agents. If all agents got the list in one tick,
+// orders would wait behind the copies of the list on a link with little bandwidth.
 const peersSpreadTicks = 50
 
-// tellPeers tells some of the agents that have not been told of the newest list.
+// sendPeersToSome sends the newest list of entries to some of the agents that don't have it.
 func (n *Node) sendPeersToSome() {
 	left := 1 + n.links.Len()/peersSpreadTicks
 	for l := range n.links.All() {
@@ -109,7 +110,7 @@
 	}
 }
 
-// sendPeers tells an agent of the newest list.
+// sendPeers sends the newest list of entries to an agent.
 func (n *Node) sendPeers(l *link) {
 	l.Own.peersVersion = n.peersVersion
 	l.Session.Send(codec.Peers(n.peers))
--- a/internal/entry/node/cordons.go
+++ b/internal/entry/node/cordons.go
@@ -8,21 +8,21 @@
 	"hillreel/internal/config/cordon"
 )
 
-// SetCordons tells the node which zones a source in the store says are cordoned.
+// SetCordons passes the node a snapshot of the cordoned zones that one source in the store lists.
 func (n *Node) SetCordons(s cordon.Snapshot) { n.loop.Post(cordonsRead{s}) }
 
-// adoptCordons takes in what the store or an agent has told of cordons, and passes news on to all agents.
+// adoptCordons adopts a snapshot from the store or from an agent if it is newer than the known one, and passes it to all agents.
 func (n *Node) adoptCordons(now time.Time, s cordon.Snapshot, source string) {
 	if !n.cordons.Adopt(s) {
 		return
 	}
-	// Agents hear of it before the table places anything that the news make room for.
+	// Agents must know of a lifted cordon before the table places tasks in the zone, else they would refuse the orders.
 	n.links.TellCordons(n.cordons.Snapshots())
 	n.table.SetCordoned(now, n.cordons.Zones())
 	n.log.WithFields(logrus.Fields{"of": s.Source, "version": s.Version, "zones": s.Zones, "source": source}).Info("cordons_adopted")
 	for _, w := range n.table.Zones() {
 		if w.Cordoned {
-			// A zone without upstreams may be misspelt.
+			// The line has the number of upstreams, because a zone without upstreams may be misspelt.
 			n.log.WithFields(logrus.Fields{"zone": w.Zone, "upstreams": w.Upstreams, "runs": w.Runs}).Info("zone_cordoned")
 		}
 	}
--- a/internal/entry/node/crashes.go
+++ b/internal/entry/node/crashes.go
@@ -10,34 +10,34 @@
 	"hillreel/internal/link/codec"
 )
 
-// adoptCrashes takes in what an agent has told of crashes, and passes on to the others what is news and concerns tasks that more than
-// one upstream was lost under.
+// mergeCrashes adds the crashes and refutations that an agent has reported. It passes the new ones to the other agents if they concern
+// tasks that were running at more than one lost upstream.
 func (n *Node) mergeCrashes(now time.Time, from *link, crashes []fleet.Crash, refuted []fleet.Refutation) {
 	known := n.table.Crashes()
-	var spread []fleet.Refutation
+	var repeated []fleet.Refutation
 	for _, r := range refuted {
 		if known.IsRepeatLoss(r.Life) {
-			spread = append(spread, r)
+			repeated = append(repeated, r)
 		}
 	}
 	n.table.HandleRefutations(now, refuted)
-	news := n.table.HandleCrashes(now, crashes)
-	n.logProvenTasks(news)
-	news = known.SelectRepeated(news)
-	if len(news)+len(spread) > 0 {
-		n.links.Broadcast(codec.Crashes(news, spread), from)
+	added := n.table.HandleCrashes(now, crashes)
+	n.logProvenTasks(added)
+	added = known.SelectRepeated(added)
+	if len(added)+len(repeated) > 0 {
+		n.links.Broadcast(codec.Crashes(added, repeated), from)
 	}
 }
 
-// Crashes tells all agents of tasks that upstreams were lost under.
+// SendCrashes reports crashes to all agents: tasks that were running at an upstream when it was lost.
 func (s *sender) SendCrashes(all []fleet.Crash) {
 	(*Node)(s).logProvenTasks(all)
 	s.links.Broadcast(codec.Crashes(all, nil), nil)
 }
 
-// logProven logs the tasks that news prove to crash upstreams, with all the crashes that the proof rests on.
-func (n *Node) logProvenTasks(news []fleet.Crash) {
-	for _, c := range news {
+// logProvenTasks logs each new crash whose task is now proven to crash upstreams, with the number of the task's crashes.
+func (n *Node) logProvenTasks(added []fleet.Crash) {
+	for _, c := range added {
 		if n.table.Crashes().Finding(c.Task) != crash.Proven {
 			continue
 		}
@@ -48,8 +48,8 @@
 	}
 }
 
-// greetCrashes tells an agent that has linked of the tasks that more than one upstream was lost under: it passes that on to entries that
-// begin later.
+// sendRepeatedCrashes reports the tasks that were running at more than one lost upstream to an agent that has just linked. The agent
+// passes them to entries that start later.
 func (n *Node) sendRepeatedCrashes(now time.Time, l *link) {
 	if known := n.table.Crashes().Repeated(now); len(known) > 0 {
 		l.Session.Send(codec.Crashes(known, nil))
--- a/internal/entry/node/kept.go
+++ b/internal/entry/node/kept.go
@@ -21,33 +21,37 @@
 	"hillreel/internal/link/codec"
 )
 
-// The events by which readings of kept jobs' rows come back to the control goroutine.
+// The events that carry the results of reads of kept jobs' rows to the control goroutine.
 type (
+	// leasesRead carries the leases of all entries; sent is when the read began.
 	leasesRead struct {
 		sent time.Time
 		page rows.Page
 		err  error
 	}
+	// openJobsRead carries the rows of all open jobs, and the leases.
 	openJobsRead struct {
 		open   []rows.Row
 		leases rows.Page
 		err    error
 	}
+	// jobsFetched carries what the jobs with these ids were submitted with.
 	jobsFetched struct {
 		ids  []job.ID
 		rows []rows.Row
 		err  error
 	}
+	// jobRead carries the rows of one job.
 	jobRead struct {
 		id          job.ID
 		open, ended rows.Row
 		err         error
 	}
-	// cancelledElsewhere carries jobs that other entries have cancelled.
+	// jobsCancelled carries the jobs that other entries have cancelled.
 	jobsCancelled struct{ ids []job.ID }
 )
 
-// newBook returns the entry's book of kept jobs, and makes its ledger.
+// newKeptJobs returns the owner of the entry's kept jobs. It sets n.reader and n.jobWriter.
 func (n *Node) newKeptJobs(store jobstore.Store) *owner.Owner {
 	k := n.set.Kept
 	layout := n.layout()
@@ -61,13 +65,13 @@
 	}, (*keptStore)(n), n.table, (*keptAgents)(n), (*answerer)(n), boottime.Now())
 }
 
-// CancelRows are the parts of the table of cancellations, which Cancelled takes changes of.
+// CancellationParts returns the parts of the cancellations table whose changes HandleCancellations handles.
 func (n *Node) CancellationParts() []string { return n.layout().AllParts() }
 
-// layout is how kept jobs are spread over the parts of the store.
+// layout returns how the rows of kept jobs are spread over the parts of the store.
 func (n *Node) layout() record.Layout { return record.Layout{Parts: n.set.Kept.Parts()} }
 
-// Cancelled takes in changes of the table of cancellations; it is a follow.Change.
+// HandleCancellations handles changes of the cancellations table. It is a follow.Handler.
 func (n *Node) HandleCancellations(c follow.Changes) {
 	var ids []job.ID
 	for _, r := range c.Rows {
@@ -103,21 +107,21 @@
 	}
 }
 
-// keeps tells whether a job is one to be kept that can be.
+// mustKeep reports whether a job is to be kept and is valid. Other jobs go to the dispatch table, which refuses the invalid ones.
 func (n *Node) mustKeep(r *dispatch.Request) bool {
 	return !r.Spec.BestEffort && r.Spec.Unsupported == "" && r.Spec.TaskCount() <= n.set.Entry.MaxTasks
 }
 
-// keptStore reads and writes kept jobs' rows for the book.
+// keptStore reads and writes the rows of kept jobs for keptJobs.
 type keptStore Node
 
-// Away tells whether the store has not answered for a while.
+// Unavailable reports whether the store has not answered for a while.
 func (s *keptStore) Unavailable() bool { return s.jobWriter.Unavailable() }
 
-// Write begins a write.
+// Write starts a write.
 func (s *keptStore) Write(op jobstore.Op) { s.jobWriter.Write(op) }
 
-// read makes a reading on a goroutine of its own, and posts what it brought.
+// read runs do on a new goroutine and posts the event that it returns. what names the rows in the log if do fails.
 func (s *keptStore) read(what string, do func(ctx context.Context) (event any, err error)) {
 	go func() {
 		event, err := do(s.ctx)
@@ -128,7 +132,7 @@
 	}()
 }
 
-// ReadLeases reads the leases.
+// ReadLeases reads the leases of all entries.
 func (s *keptStore) ReadLeases() {
 	sent := boottime.Now()
 	s.read("leases", func(ctx context.Context) (any, error) {
@@ -148,7 +152,7 @@
 	})
 }
 
-// Fetch reads what jobs were submitted with.
+// Fetch reads what the jobs were submitted with.
 func (s *keptStore) Fetch(ids []job.ID) {
 	s.read("jobs", func(ctx context.Context) (any, error) {
 		found, err := s.reader.Fetch(ctx, ids)
@@ -156,7 +160,7 @@
 	})
 }
 
-// Look reads the rows of one job.
+// LookUp reads the rows of one job.
 func (s *keptStore) LookUp(id job.ID) {
 	s.read("a job", func(ctx context.Context) (any, error) {
 		open, ended, err := s.reader.LookUp(ctx, id)
@@ -164,10 +168,10 @@
 	})
 }
 
-// keptAgents sends the book's words to agents.
+// keptAgents sends the messages of keptJobs to agents.
 type keptAgents Node
 
-// Linked lists the agents that are linked.
+// Linked lists the linked agents in order of their incarnations.
 func (a *keptAgents) Linked() []ident.Incarnation {
 	var out []ident.Incarnation
 	for l := range a.links.All() {
@@ -177,20 +181,20 @@
 	return out
 }
 
-// Noted tells that ends are stored, or count for nothing.
+// Acknowledge tells an agent that the ends of runs are stored or, if void is true, are ignored.
 func (a *keptAgents) Acknowledge(agent ident.Incarnation, runs []fleet.RunRef, void bool) {
 	a.links.Send(agent, codec.Noted(runs, void))
 }
 
-// Ask asks for ends of some jobs.
+// Ask asks an agent for the ends of the runs of some jobs. The agent's reply carries the same number.
 func (a *keptAgents) Ask(agent ident.Incarnation, number uint64, jobs []job.ID) {
 	a.links.Send(agent, codec.Ask(number, jobs))
 }
 
-// sweepEvery is the pause between two looks for ended jobs that may be forgotten, one part of the store at a time.
+// sweepEvery is the pause between two sweeps. Each sweep deletes expired jobs from one part of the store.
 const sweepEvery = 10 * time.Second
 
-// sweep forgets ended jobs in time, until the node stops.
+// sweep deletes ended jobs whose retention time has passed, until the node stops.
 func (n *Node) sweep() {
 	parts := n.layout().AllParts()
 	for turn := 0; ; turn++ {
@@ -202,7 +206,7 @@
 		active := false
 		n.loop.Call(func() { active = n.keptJobs.AnyLease(boottime.Now()) })
 		if !active {
-			continue // nobody has kept jobs, and each look is a call that has a price
+			continue // no entry has kept jobs, and each sweep costs a store call
 		}
 		count, err := n.reader.Sweep(n.ctx, parts[turn%len(parts)])
 		if err != nil || count > 0 {
--- a/internal/entry/node/links.go
+++ b/internal/entry/node/links.go
@@ -13,10 +13,10 @@
 	"hillreel/internal/link/wire"
 )
 
-// roleEntry stands in an entry's hello.
+// roleEntry is the role that an entry's hello names.
 const roleEntry = "entry"
 
-// hello is this process's first message on each link.
+// hello returns the first message that this entry sends on each link.
 func (n *Node) hello() *wire.Hello {
 	h := &wire.Hello{
 		Role: roleEntry, Name: n.set.Node.Name, Incarnation: uint64(n.inc), Zone: n.set.Node.Zone,
@@ -28,7 +28,7 @@
 	return h
 }
 
-// accept takes the links that agents open.
+// accept accepts the connections that agents open, until the listener is closed.
 func (n *Node) accept() {
 	for {
 		conn, err := n.ln.Accept()
@@ -44,7 +44,7 @@
 	}
 }
 
-// serve runs one link until it ends.
+// serve greets the agent and receives its messages until the link ends.
 func (n *Node) serve(conn net.Conn) {
 	s, err := session.Accept(conn, n.hello())
 	if err != nil {
@@ -59,7 +59,7 @@
 	n.loop.Post(linkDown{s, err})
 }
 
-// handleLinkUp takes up a new link, in place of an older one with the same agent.
+// handleLinkUp adds a new link. It replaces an older link with the same agent; a session older than the present link is closed.
 func (n *Node) handleLinkUp(now time.Time, s *session.Session) {
 	if n.links.Outdated(s) {
 		s.Close()
@@ -87,14 +87,14 @@
 	}
 }
 
-// unlinked handles the end of a link: its agent is out of hearing.
+// unlinked handles the end of a link: its agent can't be reached until it links again.
 func (n *Node) unlinked(now time.Time, l *link) {
 	n.linked.Store(int32(n.links.Len()))
 	n.table.HandleUnlinked(now, l.Peer)
 	n.keptJobs.HandleAgentLost(now, l.Peer)
 }
 
-// handleMessage handles one message of the agent.
+// handleMessage handles one message from an agent.
 func (n *Node) handleMessage(now time.Time, l *link, m *wire.Msg) {
 	switch m := m.GetKind().(type) {
 	case *wire.Msg_Upstream:
@@ -122,7 +122,7 @@
 		n.table.HandleSettled(now, l.Peer)
 	case *wire.Msg_Cordons:
 		n.adoptCordons(now, l.HeardCordons(m.Cordons), "relay")
-		l.TellCordons(n.cordons.Snapshots()) // what it told may be out of date
+		l.TellCordons(n.cordons.Snapshots()) // the agent's snapshot may be out of date
 	case *wire.Msg_Crashes:
 		crashes, refuted := codec.ReadCrashes(m.Crashes)
 		n.mergeCrashes(now, l, crashes, refuted)
@@ -140,7 +140,7 @@
 	}
 }
 
-// ping lets an agent keep this entry's runs.
+// ping sends a keep-alive. An agent stops this entry's runs when keep-alives stay away.
 func (n *Node) ping(now time.Time, l *link) {
 	l.Own.pinged = now
 	var v ident.ConfigVersion
@@ -150,15 +150,15 @@
 	l.Session.Send(codec.Ping(fleet.KeepAlive{Echo: l.Own.clock, Config: v, Pace: n.table.Pace(), Follows: n.follows()}))
 }
 
-// sender sends the table's orders to agents.
+// sender sends the dispatch table's messages to agents.
 type sender Node
 
-// Order sends an order.
+// Order sends an order to an agent.
 func (s *sender) Order(agent ident.Incarnation, o fleet.Order) {
 	s.links.Send(agent, codec.Order(o))
 }
 
-// Stop sends the wish to stop a run.
+// Stop asks an agent to stop a run.
 func (s *sender) Stop(agent ident.Incarnation, r fleet.OrderedRun, why fleet.Reason) {
 	s.links.Send(agent, codec.Stop(r, why))
 }
--- a/internal/entry/node/links_test.go
+++ b/internal/entry/node/links_test.go
@@ -21,7 +21,7 @@
 	"hillreel/internal/link/wire"
 )
 
-// away is a store that answers nothing.
+// failingStore is a store whose calls all fail at once.
 type failingStore struct{}
 
 var errStoreDown = errors.New("away")
@@ -34,9 +34,9 @@
 	return rows.Page{}, errStoreDown
 }
 
-// TestOldSessionReplacesNothing: connections that were held up on the way arrive together, in any order. One that an agent
-// has long closed must not take the place of its present one: what it says of earlier runs is old, and their tasks were
-// placed again while they ran (soak seed 623).
+// TestOldSessionReplacesNothing guards against an old session that replaces an agent's present one. Delayed connections can arrive
+// together and in any order, so that a connection that the agent has long closed comes last. Its reports on earlier runs are out of date:
+// when the entry believed them, it placed tasks again that were still running (soak seed 623).
 func TestOldSessionReplacesNothing(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -1,5 +1,5 @@
-// Package node is an entry's control part: it keeps the table of jobs and the book of kept ones on one control goroutine,
-// and holds the links that agents open to it.
+// Package node is the control part of an entry. One control goroutine owns the dispatch table, the kept jobs (those whose state
+// is stored) and the links that agents open to the entry.
 package node
 
 import (
@@ -38,23 +38,24 @@
 	ln     net.Listener
 	ctx    context.Context
 	cancel context.CancelFunc
-	// questions is over once no question to the store is waited for any more.
+	// storeCtx ends when the entry stops waiting for the answers to State and Cancel calls that read the store.
 	storeCtx       context.Context
 	cancelStoreCtx context.CancelFunc
 	jobWriter      *jobstore.Writer
 	reader         *jobstore.Reader
 
-	// The control goroutine owns what follows.
+	// Only the control goroutine uses the fields from here to pulse.
 	table    *dispatch.Table
 	keptJobs *owner.Owner
 	links    *links.Set[linkState]
-	callers  map[dispatch.CallerID]chan dispatch.Answer
-	// closing is true once everybody was given a last answer.
+	// callers holds, for each caller that still waits, the channel for its answer.
+	callers map[dispatch.CallerID]chan dispatch.Answer
+	// closing is true once CloseAll has answered all waiting callers.
 	closing bool
-	// peers are all entries, peersNumber counts how often they have changed.
+	// peers lists all entries; peersVersion is incremented when the list changes.
 	peers        []fleet.Entry
 	peersVersion int
-	// cordons is what is known of the zones that operators have cordoned.
+	// cordons holds the zones that operators have cordoned, as far as this entry knows.
 	cordons *cordon.Set
 	pulse   links.Pulse
 
@@ -62,29 +63,29 @@
 	lastID  atomic.Uint64
 	linked  atomic.Int32
 	leaving atomic.Bool
-	// follows tells whether the store's tables that agents need are known here, as far as the store has answered.
+	// follows reports whether this entry has current copies of the store's tables that agents need. It relies on the store's last answers.
 	follows func() bool
 }
 
 // link is the session with one agent.
 type link = links.Link[linkState]
 
-// keepAlive is what lets an agent keep this entry's runs.
+// linkState is the entry's own state of a link.
 type linkState struct {
-	// pinged is when the last keep-alive went out.
+	// pinged is when the last keep-alive was sent.
 	pinged time.Time
-	// clock is the newest reading of the agent's clock.
+	// clock is the newest reading of the agent's clock; keep-alives echo it. Zero means that the agent has not sent one yet.
 	clock time.Duration
-	// peersNumber is of the newest list of entries that the agent was told of.
+	// peersVersion is the peersVersion of the newest list of entries sent to the agent.
 	peersVersion int
 }
 
-// New returns a Node that has not started.
+// New returns a Node that is not started. d decodes configurations that agents pass on; observer is told of the table's decisions.
 func New(set *settings.Settings, store jobstore.Store, d Decoder, observer dispatch.Observer, log *logrus.Entry) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
-	questions, closeQuestions := context.WithCancel(ctx)
+	storeCtx, cancelStoreCtx := context.WithCancel(ctx)
 	n := &Node{
-		ctx: ctx, cancel: cancel, storeCtx: questions, cancelStoreCtx: closeQuestions, set: set, log: log, inc: ident.NewIncarnation(), loop: loop.New(), decode: d,
+		ctx: ctx, cancel: cancel, storeCtx: storeCtx, cancelStoreCtx: cancelStoreCtx, set: set, log: log, inc: ident.NewIncarnation(), loop: loop.New(), decode: d,
 		links:   links.New[linkState]("agent", cordon.NewPeer, log),
 		pulse:   links.Pulse{Limit: set.Links.Silence / 2, Pause: set.Links.Silence / 4, Every: set.Links.Tick, Late: recordTickDelay, Log: log},
 		callers: make(map[dispatch.CallerID]chan dispatch.Answer), cordons: cordon.NewSet(nil),
@@ -114,19 +115,20 @@
 	return nil
 }
 
-// SetFollows sets what tells whether the store's tables that agents need are known here, before Start.
+// SetFollows sets the function that reports whether this entry has current copies of the store's tables that agents need.
+// It must be called before Start.
 func (n *Node) SetFollows(f func() bool) { n.follows = f }
 
-// Address returns where the node listens for links.
+// Address returns the address on which the node listens for links. The node must be started.
 func (n *Node) Address() string { return n.ln.Addr().String() }
 
-// Incarnation returns this life of the entry.
+// Incarnation returns the id of this run of the entry's process.
 func (n *Node) Incarnation() ident.Incarnation { return n.inc }
 
-// Stop ends at once.
+// Stop closes all links and stops the node at once, without draining.
 func (n *Node) Stop() {
 	if n.ln != nil {
-		n.ln.Close() //nolint:errcheck // it is closed only here
+		n.ln.Close() //nolint:errcheck // the listener is closed only here
 	}
 	n.cancel()
 	n.jobWriter.Stop()
@@ -137,37 +139,40 @@
 // The events that the control goroutine handles.
 type (
 	linkUp struct{ session *session.Session }
-	// linkDown carries the session, since a newer one may have taken its place.
+	// linkDown reports the end of a session. The agent may already have a newer session.
 	linkDown struct {
 		session *session.Session
 		err     error
 	}
-	// received carries the messages of one frame.
+	// received carries the messages of one frame of a session.
 	received struct {
 		session *session.Session
 		msgs    []*wire.Msg
 	}
+	// submitted carries a request and the channel for its answer.
 	submitted struct {
 		request dispatch.Request
 		answer  chan dispatch.Answer
-		// gone is closed once the caller is known to have gone.
+		// gone is closed when the caller's context ends.
 		gone <-chan struct{}
 	}
+	// abandoned reports that a caller's context ended before it was answered.
 	abandoned struct {
 		job    job.ID
 		caller dispatch.CallerID
 	}
-	// configured carries a configuration; from is the agent that passed it on, or zero.
+	// configured carries a configuration. from is the agent that passed it on, or zero for the store.
 	configured struct {
 		table *route.Table
 		from  ident.Incarnation
 	}
+	// entriesListed carries all entries.
 	entriesListed struct{ entries []fleet.Entry }
-	// cordonsRead carries what the store says of cordons.
+	// cordonsRead carries the cordons that the store lists.
 	cordonsRead struct{ snapshot cordon.Snapshot }
 )
 
-// hasGone tells whether the caller has gone, while its request waited for the control goroutine.
+// callerGone reports whether the caller has gone while its request waited for the control goroutine.
 func (e *submitted) callerGone() bool {
 	select {
 	case <-e.gone:
@@ -177,7 +182,8 @@
 	}
 }
 
-// submit hands a job in, to the book if it is to be kept. One whose caller has gone already begins nothing: it may be with another entry by now.
+// submit submits a job to keptJobs if it must be kept, else to the dispatch table. A request whose caller has gone is dropped:
+// the caller may have sent the job to another entry, and two entries must not run it at the same time.
 func (n *Node) submit(now time.Time, e submitted) {
 	if e.callerGone() {
 		n.log.WithFields(logrus.Fields{"job": e.request.Job, "request": e.request.RequestID}).Info("request_dropped")
@@ -188,14 +194,14 @@
 	case !n.mustKeep(&e.request):
 		n.table.Submit(now, e.request)
 	case n.closing:
-		// The store would answer too late; the job may have been accepted when it was sent before.
+		// The store would answer too late. The job may still have been accepted by an earlier request.
 		(*answerer)(n).Answer(e.request.Caller, dispatch.EntryLeaving)
 	default:
 		n.keptJobs.Submit(now, e.request)
 	}
 }
 
-// handle handles one event on the control goroutine.
+// handle handles one event. It runs on the control goroutine.
 func (n *Node) handle(e loop.Event) {
 	now := n.pulse.CatchUp(n.tick)
 	if isFromNetwork(e) {
@@ -226,7 +232,8 @@
 	}
 }
 
-// comesFromOutside tells whether an event shows that the entry can be reached by agents or callers. That a caller has gone may be the word of this VM alone.
+// isFromNetwork reports whether an event proves that agents or callers can reach the entry. The abandoned event is no proof:
+// it may come from this VM alone.
 func isFromNetwork(e loop.Event) bool {
 	switch e.(type) {
 	case linkUp, received, submitted:
@@ -235,7 +242,7 @@
 	return false
 }
 
-// tick does what time alone brings about.
+// tick does the periodic work: it expires jobs and silent links, and sends keep-alives and lists of entries.
 func (n *Node) tick() {
 	now := boottime.Now()
 	n.pulse.Tick(now)
@@ -252,8 +259,8 @@
 	n.sendPeersToSome()
 }
 
-// Submit hands a job in, to the book if it is to be kept, and waits for its answer, or until ctx ends: then the caller has
-// gone.
+// Submit submits a job and waits for its answer. When ctx ends first, the job's caller counts as gone, and Submit returns
+// ctx's error. It returns another error when the node stops.
 func (n *Node) Submit(ctx context.Context, r dispatch.Request) (dispatch.Answer, error) {
 	answer, caller := n.newCaller()
 	r.Caller = caller
@@ -263,12 +270,12 @@
 	return n.await(ctx, r.Job, caller, answer)
 }
 
-// newCaller returns a caller's id, and where its answer comes.
+// newCaller returns a new caller id and the channel for the caller's answer.
 func (n *Node) newCaller() (chan dispatch.Answer, dispatch.CallerID) {
 	return make(chan dispatch.Answer, 1), dispatch.CallerID(n.lastID.Add(1))
 }
 
-// await waits for a caller's answer, or until ctx ends.
+// await waits for a caller's answer until ctx ends or the node stops. When ctx ends, it posts abandoned.
 func (n *Node) await(ctx context.Context, id job.ID, c dispatch.CallerID, answer chan dispatch.Answer) (dispatch.Answer, error) {
 	select {
 	case a := <-answer:
@@ -281,14 +288,14 @@
 	}
 }
 
-// call runs f on the control goroutine and waits for it; once the node has stopped it does nothing.
+// call runs f on the control goroutine and waits for its return. After the node has stopped, call does nothing.
 func (n *Node) call(f func(now time.Time)) {
 	n.loop.Call(func() {
 		f(n.pulse.CatchUp(n.tick))
 	})
 }
 
-// UpstreamsReady returns how many upstreams take work now.
+// UpstreamsReady returns the number of upstreams that accept work now.
 func (n *Node) UpstreamsReady() (count int) {
 	n.loop.Call(func() { count = n.table.Ready() })
 	return count
@@ -300,22 +307,22 @@
 	return out
 }
 
-// Zones lists what this entry has in each availability zone.
+// Zones lists the state of each availability zone in which this entry knows upstreams.
 func (n *Node) Zones() (out []dispatch.ZoneStatus) {
 	n.loop.Call(func() { out = n.table.Zones() })
 	return out
 }
 
-// Allow replaces what configuration lets upstreams serve.
+// SetAllowed replaces the function that decides which services an upstream may serve.
 func (n *Node) SetAllowed(f dispatch.Allowed) { n.loop.Post(func() { n.table.SetAllowed(f) }) }
 
-// NotBegun counts a queue's jobs that have not begun, those of other entries as these said last.
+// NotBegun returns how many jobs of a queue have not begun. It counts other entries' jobs by their latest reports.
 func (n *Node) NotBegun(r route.Name) (count int) {
 	n.loop.Call(func() { count = n.table.NotBegun(r) + n.keptJobs.NotBegun(r) })
 	return count
 }
 
-// Ready tells whether the entry wants new connections.
+// Ready reports whether the entry wants new connections, and why.
 func (n *Node) Ready() (bool, string) {
 	switch {
 	case n.leaving.Load():
@@ -328,11 +335,11 @@
 	return true, "ready"
 }
 
-// Leave makes the entry unready; what it is sent meanwhile is still served.
+// Leave makes the entry unready. Requests that still arrive are served.
 func (n *Node) Leave() { n.leaving.Store(true) }
 
-// CloseAll answers everybody who still waits, and whoever comes then at once: the entry is about to end. A job to be kept may
-// be stored all the same.
+// CloseAll answers all callers that wait. From then on, each new request is answered at once, because the entry is about to
+// stop. A job to be kept may be stored even if its caller was told that the entry leaves.
 func (n *Node) CloseAll() {
 	n.cancelStoreCtx()
 	n.call(func(now time.Time) {
@@ -345,26 +352,26 @@
 	})
 }
 
-// question returns a context for a question to the store, which the entry's end bounds as well.
+// storeContext returns a context for a call to the store. It ends with ctx, or when CloseAll is called.
 func (n *Node) storeContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(n.storeCtx, cancel)
 	return ctx, func() { stop(); cancel() }
 }
 
-// HandOver lets other entries take this one's kept jobs over at once.
+// HandOver releases the entry's lease on its kept jobs, so that other entries can take them over at once.
 func (n *Node) HandOver() { n.call(n.keptJobs.ReleaseLease) }
 
-// Unanswered returns how many jobs have callers that wait.
+// Unanswered returns the number of jobs with callers that wait.
 func (n *Node) Unanswered() (count int) {
 	n.loop.Call(func() { count = n.table.Unanswered() })
 	return count
 }
 
-// answerer hands answers to the callers that wait.
+// answerer sends answers to the callers that wait.
 type answerer Node
 
-// Answer answers one caller; one that has gone is passed over.
+// Answer answers one caller. It does nothing if the caller has gone.
 func (a *answerer) Answer(c dispatch.CallerID, answer dispatch.Answer) {
 	if waiting := a.callers[c]; waiting != nil {
 		waiting <- answer
--- a/internal/entry/node/observe.go
+++ b/internal/entry/node/observe.go
@@ -16,14 +16,16 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// Observer logs and counts an entry's decisions. One line is written for each job, with the way it took if it did not end well and in
-// time, or may have been begun elsewhere before; the ways of the others would drown the rest, and their agents are named only.
+// Observer logs and counts an entry's decisions. The log line of a job's answer has the job's history if the job did not end well and in
+// time, or may have been started before by another entry. The line of any other job names only its agents, since the histories of all
+// jobs would make the log unreadable.
 type Observer struct {
 	log      *logrus.Entry
 	counters *metrics.Counters
 	times    *metrics.Latencies
-	ended    func(r *route.Route, a dispatch.Answer, s dispatch.Summary)
-	// ways are those of the jobs that are not answered yet.
+	// ended is called for each answer; it may be nil.
+	ended func(r *route.Route, a dispatch.Answer, s dispatch.Summary)
+	// histories holds the histories of the jobs that are not answered yet.
 	histories map[job.ID]*jobHistory
 }
 
@@ -35,12 +37,12 @@
 	}
 }
 
-// ticked notes by how much a tick of an entry's control goroutine was late.
+// recordTickDelay records by how much a tick of an entry's control goroutine was late.
 func recordTickDelay(late time.Duration) {
 	metrics.NewMargins("margins").Record("entry_tick", late, fleet.TimerMargin)
 }
 
-// way returns what is kept of a job.
+// history returns the history of a job, and creates it if there is none.
 func (o *Observer) history(id job.ID) *jobHistory {
 	if o.histories[id] == nil {
 		o.histories[id] = &jobHistory{}
@@ -48,8 +50,8 @@
 	return o.histories[id]
 }
 
-// Taken logs a job, so that its request can be found also when this entry is lost before it answers. How long its caller still waits tells
-// the first of several requests of a job from later ones.
+// Taken logs a job, so that its request can be found even if this entry is lost before it answers. The line has the time that the caller
+// still waits, which tells the first of several requests of a job from later ones.
 func (o *Observer) Taken(r *dispatch.Request) {
 	o.counters.Add("jobs_taken", 1)
 	o.history(r.Job).requestID = r.RequestID
@@ -60,34 +62,34 @@
 	o.log.WithFields(f).Info("job_taken")
 }
 
-// Placed notes an order. One of tasks that may have run before has a line.
+// Placed records an order. It logs the order's tasks that may have run before.
 func (o *Observer) Placed(id job.ID, agent ident.UpstreamName, order *fleet.Order, waited time.Duration) {
 	o.counters.Add("orders", 1)
 	o.counters.Add("tasks_ordered", int64(len(order.Tasks)))
-	w := o.history(id)
-	again := w.notePlacement(agent, order, waited)
+	h := o.history(id)
+	again := h.notePlacement(agent, order, waited)
 	if len(again) == 0 {
 		return
 	}
 	o.counters.Add("tasks_placed_again", int64(len(again)))
-	o.log.WithFields(logrus.Fields{"job": id, "request": w.requestID, "agent": agent, "tasks": joinLimited(again, "; ")}).Info("task_placed_again")
+	o.log.WithFields(logrus.Fields{"job": id, "request": h.requestID, "agent": agent, "tasks": joinLimited(again, "; ")}).Info("task_placed_again")
 }
 
-// Ended counts the end of a run, and notes it in its job's way unless it went well.
+// Ended counts the end of a run, and records it in its job's history unless the run succeeded.
 func (o *Observer) Ended(agent ident.UpstreamName, e fleet.End, next string) {
 	o.counters.Add("runs_"+string(e.Outcome), 1)
 	if e.Outcome == job.Done {
 		return
 	}
 	if next == "given_up" {
-		return // its job was answered
+		return // the job was answered and has no history any more
 	}
-	w := o.history(e.Task.Job)
-	w.noteEnd(agent, e)
-	w.addStep(fmt.Sprintf("%s %s %s after %dms at %s then %s", runName(fleet.RunRef{Task: e.Task, Run: e.Run}), e.Outcome, e.Reason, e.Took.Milliseconds(), agent, next))
+	h := o.history(e.Task.Job)
+	h.noteEnd(agent, e)
+	h.addStep(fmt.Sprintf("%s %s %s after %dms at %s then %s", runName(fleet.RunRef{Task: e.Task, Run: e.Run}), e.Outcome, e.Reason, e.Took.Milliseconds(), agent, next))
 }
 
-// StopsAsked logs which runs of a job are to be stopped, and counts them.
+// StopsRequested logs which runs of a job are to be stopped, and counts them.
 func (o *Observer) StopsRequested(s dispatch.Stops) {
 	runs := len(s.Requested) + len(s.Unreachable)
 	o.counters.Add("stops_asked_"+string(s.Cause), int64(runs))
@@ -101,29 +103,29 @@
 	o.log.WithFields(f).Info("run_stop_asked")
 }
 
-// OutOfTouch logs that nothing was heard for so long that callers may have gone unheard.
+// OutOfTouch logs that the entry received nothing for so long that it may have missed callers going away.
 func (o *Observer) OutOfTouch(silent time.Duration, jobs int) {
 	o.counters.Add("out_of_touch", 1)
 	o.log.WithFields(logrus.Fields{"silent_ms": silent.Milliseconds(), "jobs_given_up": jobs}).Warn("out_of_touch")
 }
 
-// Belated counts the requests that wait for the end of their connections.
+// Belated counts a request that arrived late and waits in case its connection ends.
 func (o *Observer) Belated(*dispatch.Request) { o.counters.Add("requests_belated", 1) }
 
-// TakenOver logs and counts the steps of a takeover of a job by another entry, or from one.
+// TakeoverChanged logs and counts the steps by which a job is taken over by or from another entry.
 func (o *Observer) TakeoverChanged(id job.ID, other ident.Incarnation, waited time.Duration, event dispatch.TakeoverEvent) {
 	o.counters.Add("takeovers_"+string(event), 1)
 	o.log.WithFields(logrus.Fields{"job": id, "other_entry": other, "waited_ms": waited.Milliseconds(), "step": event}).Info("job_takeover")
 }
 
-// CameAgain logs a request of a job that is held, and counts those whose job still had runs.
+// Resubmitted logs a request for a job that the entry already holds, and counts it. Jobs that still have runs are counted apart.
 func (o *Observer) Resubmitted(r *dispatch.Request, h dispatch.HeldJob) {
 	o.counters.Add("callers_came_again", 1)
 	if h.Runs > 0 {
 		o.counters.Add("callers_came_again_with_runs", 1)
 	}
-	if w := o.histories[r.Job]; w != nil {
-		w.resent = true
+	if history := o.histories[r.Job]; history != nil {
+		history.resent = true
 	}
 	o.log.WithFields(logrus.Fields{
 		"job": r.Job, "request": r.RequestID, "former_request": h.FormerRequestID, "held_ms": h.Since.Milliseconds(), "runs": h.Runs, "callers": h.Callers,
@@ -162,17 +164,17 @@
 		o.counters.Add("jobs_refused_while_closed", 1)
 		f["upstreams_closed"] = s.Room.Closed
 	}
-	w := o.history(id)
-	if a.State != verdict.Complete || !inTime || s.Resent || w.resent {
-		f["way"] = w.summary()
+	h := o.history(id)
+	if a.State != verdict.Complete || !inTime || s.Resent || h.resent {
+		f["way"] = h.summary()
 	} else {
-		f["agents"] = joinLimited(w.agents, " ")
+		f["agents"] = joinLimited(h.agents, " ")
 	}
 	delete(o.histories, id)
 	o.log.WithFields(f).Info("job_answered")
 }
 
-// AgentChanged logs and counts what becomes of an agent's runs.
+// AgentChanged logs and counts what happens to the runs at an agent whose link was lost.
 func (o *Observer) AgentChanged(agent ident.UpstreamName, runs int, event dispatch.AgentEvent) {
 	o.counters.Add(string(event), 1)
 	level := logrus.WarnLevel
--- a/internal/entry/node/observe_test.go
+++ b/internal/entry/node/observe_test.go
@@ -18,7 +18,7 @@
 	"hillreel/internal/entry/node"
 )
 
-// observed returns the lines that an entry writes.
+// observed returns the log lines that an Observer writes while watch runs.
 func observed(watch func(o *node.Observer)) []string {
 	var out bytes.Buffer
 	log := logs.Discard()
@@ -27,12 +27,12 @@
 	return strings.Split(strings.TrimSpace(out.String()), "\n")
 }
 
-// taken takes the job that the tests observe.
+// taken reports to o that the entry has taken the job that the tests observe.
 func taken(o *node.Observer) {
 	o.Taken(&dispatch.Request{Job: 7, RequestID: "r-1", Spec: &job.Spec{Steps: []job.Step{{Count: 2}}}})
 }
 
-// place orders runs of a number for the job's tasks.
+// place reports to o that runs with the given number were ordered for the job's tasks.
 func place(o *node.Observer, number job.Run, tasks int) {
 	order := &fleet.Order{Job: 7}
 	for i := range tasks {
@@ -41,7 +41,7 @@
 	o.Placed(7, "here", order, 0)
 }
 
-// TestTakenLine: a job's first line tells how long its caller still waits, if that is known.
+// TestTakenLine checks that a job's first log line has the time that its caller still waits, if it is known.
 func TestTakenLine(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestTaskPlacedAgainLine: a task that may have run before has a line with what became of that run; one that an agent has merely refused
-// has none.
+// TestTaskPlacedAgainLine checks that placing a task again is logged, with the end of its former run, if that run may have started. After a
+// mere refusal by an agent nothing is logged.
 func TestTaskPlacedAgainLine(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestTaskPlacedAgainAfterRefusal: a task whose next run an agent has refused has another line where it goes then, with the run before
-// that may have begun; once its run has ended otherwise, that one.
+// TestTaskPlacedAgainAfterRefusal checks which former run the line names when an agent refuses a task that is placed again: the last run
+// that may have started, not the refused one. A later run that ends in another way than by a refusal takes its place.
 func TestTaskPlacedAgainAfterRefusal(t *testing.T) {
 	lines := observed(func(o *node.Observer) {
 		taken(o)
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestStopLine: one line names all runs of a job that are to be stopped; of many it names some.
+// TestStopLine checks that one line names all runs of a job that are to be stopped, or the first of them if there are many.
 func TestStopLine(t *testing.T) {
 	runs := func(n int) (out []dispatch.RunAt) {
 		for i := range n {
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestWayOfJobsSentBefore: a job that may have been begun elsewhere before has its way in its line, and so the agents of its runs, even
-// if it is in time.
+// TestWayOfJobsSentBefore checks that the answer's line has a job's history, and so the agents of its runs, if another entry may have
+// started the job before, even if the job ends in time.
 func TestWayOfJobsSentBefore(t *testing.T) {
 	const way = "place 2 at here: 0.0 run 1, 0.1 run 1"
 	for _, test := range []struct {
--- a/internal/entry/node/state.go
+++ b/internal/entry/node/state.go
@@ -9,12 +9,12 @@
 	"hillreel/internal/core/verdict"
 )
 
-// stateWait is how long a question for a job's state waits for the job's end: a caller that asks in vain comes back a
-// quarter of a second later or more.
+// maxStateWait is how long State waits for a running job's end. Without it, a caller that polls would learn of the end a quarter
+// of a second later or more, when it asks again.
 const maxStateWait = 400 * time.Millisecond
 
-// State returns a job's state; verdict.Unknown when there is no such job. While the job runs, the answer waits a moment
-// for its end.
+// State returns a job's state, or verdict.Unknown if the job does not exist. While the job runs, State waits for its end, at most
+// maxStateWait and half the time that ctx has left.
 func (n *Node) State(ctx context.Context, id job.ID) (verdict.State, error) {
 	ctx, done := n.storeContext(ctx)
 	defer done()
@@ -48,7 +48,7 @@
 	return n.storedState(ctx, id, until)
 }
 
-// earlier returns the earlier of two moments.
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -56,10 +56,10 @@
 	return b
 }
 
-// stateRetry is the pause between two readings of the state of another entry's job.
+// stateRetryPause is the pause between two reads of the state of another entry's job.
 const stateRetryPause = 100 * time.Millisecond
 
-// storedState returns the state of a job that this entry does not own, and looks again while it has not ended.
+// storedState reads the state of a job that this entry does not own. It reads again until the job has ended or until is near.
 func (n *Node) storedState(ctx context.Context, id job.ID, until time.Time) (verdict.State, error) {
 	for {
 		state, err := n.reader.State(ctx, id)
@@ -69,13 +69,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return state, nil // it is what the store said last
+			return state, nil // the store's last answer
 		case <-time.After(stateRetryPause):
 		}
 	}
 }
 
-// Cancel ends a job, and returns the state in which it has ended; verdict.Unknown when there is no such job.
+// Cancel cancels a job and returns the state in which the job has ended, or verdict.Unknown if the job does not exist.
 func (n *Node) Cancel(ctx context.Context, id job.ID) (verdict.State, error) {
 	ctx, done := n.storeContext(ctx)
 	defer done()
--- a/internal/entry/node/takeover.go
+++ b/internal/entry/node/takeover.go
@@ -7,17 +7,17 @@
 	"hillreel/internal/link/codec"
 )
 
-// Holding tells an agent, for its other entries, which jobs this entry has held for long.
+// AnnounceHeld tells an agent which jobs this entry has held for long. The agent passes the list to its other entries.
 func (s *sender) AnnounceHeld(agent ident.Incarnation, jobs []job.ID) {
 	s.links.Send(agent, codec.Holding(0, jobs))
 }
 
-// Release asks, through an agent, for a job that another entry holds.
+// RequestRelease asks the entry that holds a job to release it. An agent passes the request on.
 func (s *sender) RequestRelease(agent ident.Incarnation, id job.ID, holder ident.Incarnation) {
 	s.links.Send(agent, codec.Release(fleet.Takeover{Job: id, Holder: holder}))
 }
 
-// Released tells, through an agent, the entry that takes a job over that nothing of it remains.
+// SendReleased tells the entry that takes a job over that no run of it remains here. An agent passes the message on.
 func (s *sender) SendReleased(agent ident.Incarnation, r fleet.Released) {
 	s.links.Send(agent, codec.Released(r))
 }
--- a/internal/entry/node/way.go
+++ b/internal/entry/node/way.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// maxSteps bounds the steps that are kept of one job's way; the end of a long way says the least.
+	// maxSteps bounds the steps recorded for one job. The first steps are kept, since the end of a long history says the least.
 	maxSteps = 24
-	// maxNamed bounds the runs that are named in one line or step.
+	// maxListed bounds the items that one log line or step lists.
 	maxListed = 24
 )
 
-// way is what is kept of a job until it is answered.
+// jobHistory records what happens to a job until it is answered; the log calls it the job's "way".
 type jobHistory struct {
-	// sender is its first caller's own id of the request.
+	// requestID is the id that the job's first caller gave to its request.
 	requestID string
-	// steps are in the words of the log.
+	// steps are the texts that the log shows.
 	steps []string
-	// agents are those that were sent orders, each once.
+	// agents names the agents that got orders, each once.
 	agents []string
-	// former are the ends of runs whose tasks were, or are to be, placed again.
+	// formerRuns holds, for each task that was or will be placed again, its former run.
 	formerRuns map[job.TaskID]formerRun
-	// cameAgain: its caller came again while it was held.
+	// resent is true if the caller sent the job again while the entry held it.
 	resent bool
 }
 
-// formerRun is a task's run before the next one.
+// formerRun is the end of a task's run that preceded its next run. Its zero value means that there was none.
 type formerRun struct {
 	run     job.Run
 	outcome job.Outcome
@@ -41,12 +41,12 @@
 	agent   ident.UpstreamName
 }
 
-// mayHaveBegun tells whether more than an agent's own refusal is known of a run: that one has begun nothing, and is common where entries
-// race for room.
+// mayHaveStarted reports whether a run may have started. A run that its agent itself refused has not started; such refusals are common
+// where entries compete for room.
 func (r *formerRun) mayHaveStarted() bool {
 	switch {
 	case r.run == 0:
-		return false // there was none
+		return false // there was no run
 	case r.outcome != job.NotStarted:
 		return true
 	}
@@ -57,53 +57,54 @@
 	return true
 }
 
-// add adds a step, unless there are many.
-func (w *jobHistory) addStep(step string) {
-	if len(w.steps) < maxSteps {
-		w.steps = append(w.steps, step)
+// addStep records a step unless there are maxSteps already.
+func (h *jobHistory) addStep(step string) {
+	if len(h.steps) < maxSteps {
+		h.steps = append(h.steps, step)
 	}
 }
 
-// text is the way in the words of the log.
-func (w *jobHistory) summary() string { return strings.Join(w.steps, "; ") }
+// summary returns the steps as one text for the log.
+func (h *jobHistory) summary() string { return strings.Join(h.steps, "; ") }
 
-// ended notes a run whose task may be placed again. One that may have begun is remembered until another may have.
-func (w *jobHistory) noteEnd(agent ident.UpstreamName, e fleet.End) {
-	if w.formerRuns == nil {
-		w.formerRuns = make(map[job.TaskID]formerRun)
+// noteEnd records the end of a run whose task may be placed again. A run that may have started is replaced only by another run that
+// may have started.
+func (h *jobHistory) noteEnd(agent ident.UpstreamName, e fleet.End) {
+	if h.formerRuns == nil {
+		h.formerRuns = make(map[job.TaskID]formerRun)
 	}
-	now, before := formerRun{e.Run, e.Outcome, e.Reason, agent}, w.formerRuns[e.Task]
+	now, before := formerRun{e.Run, e.Outcome, e.Reason, agent}, h.formerRuns[e.Task]
 	if now.mayHaveStarted() || !before.mayHaveStarted() {
-		w.formerRuns[e.Task] = now
+		h.formerRuns[e.Task] = now
 	}
 }
 
-// placed notes an order, and returns those of its tasks that are placed again with what became of their former runs. Tasks whose former
-// runs have surely not begun are left out.
-func (w *jobHistory) notePlacement(agent ident.UpstreamName, o *fleet.Order, waited time.Duration) (again []string) {
-	if !slices.Contains(w.agents, string(agent)) {
-		w.agents = append(w.agents, string(agent))
+// notePlacement records an order. It returns a text for each task that is placed again, which says how its former run ended. Tasks whose
+// former runs have certainly not started are left out.
+func (h *jobHistory) notePlacement(agent ident.UpstreamName, o *fleet.Order, waited time.Duration) (again []string) {
+	if !slices.Contains(h.agents, string(agent)) {
+		h.agents = append(h.agents, string(agent))
 	}
 	var tasks []string
 	for i, t := range o.Tasks {
 		id := o.Task(i)
 		tasks = append(tasks, runName(fleet.RunRef{Task: id, Run: t.Run}))
-		if former := w.formerRuns[id]; former.mayHaveStarted() {
+		if former := h.formerRuns[id]; former.mayHaveStarted() {
 			again = append(again, fmt.Sprintf("%s after run %d %s %s at %s", tasks[i], former.run, former.outcome, former.reason, former.agent))
 		}
 	}
-	if len(w.steps) < maxSteps {
-		w.addStep(fmt.Sprintf("+%dms place %d at %s: %s", waited.Milliseconds(), len(tasks), agent, joinLimited(tasks, ", ")))
+	if len(h.steps) < maxSteps {
+		h.addStep(fmt.Sprintf("+%dms place %d at %s: %s", waited.Milliseconds(), len(tasks), agent, joinLimited(tasks, ", ")))
 	}
 	return again
 }
 
-// name names a run within its job.
+// runName returns the name of a run within its job.
 func runName(r fleet.RunRef) string {
 	return fmt.Sprintf("%d.%d run %d", r.Task.Step, r.Task.Index, r.Run)
 }
 
-// runsAt names runs within their job, each with its agent.
+// formatRuns lists runs by their names within their job, each with its agent.
 func formatRuns(runs []dispatch.RunAt) string {
 	var out []string
 	for _, r := range runs {
@@ -112,10 +113,10 @@
 	return joinLimited(out, "; ")
 }
 
-// list joins items; of many it has the first ones, and how many there are besides.
-func joinLimited(items []string, between string) string {
+// joinLimited joins the first maxListed items and, if there are more, appends how many were left out.
+func joinLimited(items []string, separator string) string {
 	if more := len(items) - maxListed; more > 0 {
 		items = append(items[:maxListed:maxListed], fmt.Sprintf("%d more", more))
 	}
-	return strings.Join(items, between)
+	return strings.Join(items, separator)
 }
