--- a/internal/entry/agent/agent.go
+++ b/internal/entry/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent keeps what an entry knows of one agent: the upstream beside it, the room that is left there once this
-// entry's orders are counted, and how dear a task is there.
+// Package agent holds what an entry knows of one agent: the upstream on the agent's VM, the room that is left there after this
+// entry's orders, and the cost of placing a task there.
 package agent
 
 import (
@@ -12,37 +12,38 @@
 	"hillreel/internal/core/job"
 )
 
-// Account is what is known of one agent.
+// Record holds what an entry knows of one agent.
 type Record struct {
 	ID ident.Incarnation
-	// Name is that of the agent's VM, by which operators know the upstream.
+	// Name is the name of the agent's VM, by which operators know the upstream.
 	Name ident.UpstreamName
 	Zone ident.Zone
-	// Linked is true while there is a session.
+	// Linked is true while there is a session with the agent.
 	Linked bool
-	// Up is the upstream beside the agent, as it was described last.
+	// Upstream is the agent's latest description of the upstream on its VM.
 	Upstream fleet.Upstream
-	// Heard is when the newest reading of the agent's clock came; the entry echoes none that came later.
+	// ClockReadAt is when the newest reading of the agent's clock arrived. The entry's keep-alives echo no later reading.
 	ClockReadAt time.Time
 
-	// described is true once the session has told of an upstream and its room.
+	// hasRoom is true once the agent has described its upstream and the room there in this session.
 	hasRoom bool
 	room    fleet.Room
-	// seq numbers the session's orders; sent lists those that room does not reflect yet, pending sums them.
+	// seq is the number of the session's last order. unreflected lists the orders that room does not reflect yet. pending is the sum
+	// of their resources and of the resources reserved for the next order.
 	seq         uint64
 	unreflected []sentOrder
 	pending     job.Resources
-	// probing is true while a probe of this entry is on its way.
+	// probeSent is true while this entry has reserved or sent a probe that room does not reflect yet.
 	probeSent bool
 }
 
-// sent is an order that the agent's room may not reflect yet.
+// sentOrder is an order that the agent's room may not reflect yet.
 type sentOrder struct {
 	seq   uint64
 	total job.Resources
 }
 
-// Link begins a new session.
+// Link starts a new session with the agent.
 func (a *Record) Link(name ident.UpstreamName, zone ident.Zone) {
 	a.Name, a.Zone, a.Linked, a.hasRoom = name, zone, true, false
 	a.seq, a.unreflected, a.pending = 0, nil, job.Resources{}
@@ -51,7 +52,7 @@
 // Unlink ends the session.
 func (a *Record) Unlink() { a.Linked, a.hasRoom = false, false }
 
-// Told takes in the agent's news of its room.
+// UpdateRoom stores the agent's report of its room, and drops the orders that the report reflects.
 func (a *Record) UpdateRoom(now time.Time, r fleet.Room) {
 	a.ClockReadAt, a.room, a.hasRoom, a.probeSent = now, r, a.Upstream.ID != "", false
 	a.pending = job.Resources{}
@@ -66,19 +67,20 @@
 	a.unreflected = rest
 }
 
-// Cordon notes that the agent has refused an order because its zone is cordoned; its next news say how it stands then.
+// MarkCordoned records that the agent has refused an order because its zone is cordoned. The agent's next report replaces this state.
 func (a *Record) MarkCordoned() { a.room.State = fleet.Cordoned }
 
-// Reserve counts a task that the next order will carry.
+// Reserve reserves the resources of a task that the next order will carry.
 func (a *Record) Reserve(each job.Resources) {
 	a.pending = a.pending.Add(each)
 	a.probeSent = a.room.State == fleet.Probing
 }
 
-// ReserveAll counts a task that nothing else may be started beside, which the next order will carry.
+// ReserveAll reserves the whole upstream for a task that the next order will carry and that must start alone.
 func (a *Record) ReserveAll() { a.pending = a.pending.Add(a.Upstream.Total) }
 
-// Number numbers an order of tasks that were reserved; it takes room until the agent's news reflect it.
+// AssignSeq gives the next sequence number to an order of reserved tasks. The order counts as pending until the agent's report of its
+// room reflects it.
 func (a *Record) AssignSeq(o *fleet.Order) {
 	a.seq++
 	o.Seq = a.seq
@@ -93,33 +95,33 @@
 	a.unreflected = append(a.unreflected, sentOrder{o.Seq, total})
 }
 
-// Asked tells whether the session has carried an order.
+// HasOrders reports whether an order was sent in this session.
 func (a *Record) HasOrders() bool { return a.seq > 0 }
 
-// Answers tells whether the agent has taken in an order of this session: then it has lived since the session began.
+// HasAnswered reports whether the agent has handled an order of this session, which proves that it was alive after the session began.
 func (a *Record) HasAnswered() bool { return a.room.Seq > 0 }
 
-// Room is the agent's newest word on its room.
+// Room returns the agent's latest report of its room.
 func (a *Record) Room() fleet.Room { return a.room }
 
-// Free is the room that this entry has not given away yet.
+// Free returns the resources that are free after this entry's pending orders.
 func (a *Record) Free() job.Resources { return a.room.Free.Sub(a.pending) }
 
-// Known tells whether the agent is linked and has told of its upstream.
+// Known reports whether the agent is linked and has described its upstream.
 func (a *Record) Known() bool { return a.Linked && a.hasRoom }
 
-// Accepts tells whether the upstream is known and takes work.
+// AcceptsWork reports whether the upstream is known and accepts work.
 func (a *Record) AcceptsWork() bool { return a.Known() && a.room.State.Accepts() }
 
-// Serves tells whether the upstream is known, serves a service, and is in one of the states.
+// Serves reports whether the upstream is known, serves a service, and is in one of the states.
 func (a *Record) Serves(s ident.Service, states ...fleet.State) bool {
 	return a.Known() && a.Upstream.Service == s && slices.Contains(states, a.room.State)
 }
 
-// Probing tells whether the upstream takes nothing but single probes.
+// Probing reports whether the upstream accepts only single probes.
 func (a *Record) Probing() bool { return a.room.State == fleet.Probing }
 
-// Takes tells whether a task of a step can be offered now.
+// CanTake reports whether the upstream can be offered a task of a step now. While it is probing, it is offered one probe at a time.
 func (a *Record) CanTake(s ident.Service, step *job.Step) bool {
 	if !a.Serves(s, fleet.Ready, fleet.Probing) || !a.Upstream.HasLabel(step.Requires) || !step.Each.Fits(a.Free()) {
 		return false
@@ -127,21 +129,21 @@
 	return !a.Probing() || !a.probeSent
 }
 
-// How upstreams are compared: in multiples of the median run time.
+// The terms of Cost, in multiples of the median run time.
 const (
-	// loadCost is what a full upstream costs more than an empty one. It spreads tasks, so that the loss of one
-	// upstream costs few, and leaves fast ones ahead of slow ones.
+	// loadCost is the additional cost of a full upstream over an empty one. It spreads tasks, so that the loss of one upstream
+	// affects few of them, and still prefers fast upstreams to slow ones.
 	loadCost = 0.5
-	// zoneCost is what another availability zone costs: 1 ms of a task of 50 ms.
+	// zoneCost is the cost of placing a task in another availability zone: 1 ms for a task of 50 ms.
 	zoneCost = 0.02
-	// rackCost is what a task pays away from its data: the platform's remote_factor of 1.5.
+	// rackCost is the cost of running a task away from its data. It corresponds to the platform's remote_factor of 1.5.
 	rackCost = 0.5
-	// spread keeps entries that see the same room from choosing the same upstream.
+	// costJitter keeps entries that see the same room from choosing the same upstream.
 	costJitter = 0.2
 )
 
-// Cost rates the agent for a task of a step, from an entry in a zone; the lowest is chosen. median is the median pace
-// of all upstreams.
+// Cost returns the cost of running a task of a step at the upstream, for an entry in the zone from. The upstream with the lowest cost
+// is chosen. median is the median pace of all upstreams.
 func (a *Record) Cost(step *job.Step, from ident.Zone, median float64, rng *rand.Rand) float64 {
 	c := a.relativePace(median) * (1 + loadCost*a.Utilization() + costJitter*rng.Float64())
 	if a.Zone != from {
@@ -153,7 +155,7 @@
 	return c
 }
 
-// Used is how much of the upstream's processors is taken, from 0 to 1.
+// Utilization returns the share of the upstream's CPU that is used, from 0 to 1.
 func (a *Record) Utilization() float64 {
 	if a.Upstream.Total.CPU == 0 {
 		return 1
@@ -161,10 +163,10 @@
 	return 1 - float64(a.Free().CPU)/float64(a.Upstream.Total.CPU)
 }
 
-// Slow tells whether the upstream is slow beside others; median is the median of all paces.
+// IsSlow reports whether the upstream is slow compared to the others. median is the median pace of all upstreams.
 func (a *Record) IsSlow(median float64) bool { return fleet.Slow(a.room.Pace, median) }
 
-// relativePace is the upstream's pace over the median.
+// relativePace returns the upstream's pace divided by the median, or 1 if either is unknown.
 func (a *Record) relativePace(median float64) float64 {
 	if a.room.Pace == 0 || median == 0 {
 		return 1
