--- a/internal/entry/caller/caller.go
+++ b/internal/entry/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller serves hillreel's own HTTP API for callers. Every answer, also every error, is JSON with a
-// state, a verdict and a reason.
+// Package caller serves hillreel's own HTTP API for callers. Every answer, including every error, is a JSON object with a state, a
+// verdict and, where there is one, a reason.
 package caller
 
 import (
@@ -23,35 +23,38 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// Jobs is what the API needs of the entry.
+// Jobs runs and cancels jobs, and reports their states.
 type Jobs interface {
+	// Submit submits a job and waits for its answer. An error means that ctx ended first, or that the entry stopped.
 	Submit(ctx context.Context, r dispatch.Request) (dispatch.Answer, error)
-	// Cancel ends a job and returns the state in which it has ended, State returns its state; both return verdict.Unknown
-	// when there is no such job.
+	// Cancel cancels a job and returns the state in which it has ended, or verdict.Unknown if the job does not exist.
 	Cancel(ctx context.Context, id job.ID) (verdict.State, error)
+	// State returns a job's state, or verdict.Unknown if the job does not exist.
 	State(ctx context.Context, id job.ID) (verdict.State, error)
+	// Ready reports whether the entry wants new connections, and why.
 	Ready() (bool, string)
 }
 
-// Services is what operators say of services.
+// Services holds the operators' configuration of services.
 type Services interface {
-	// Knows tells whether jobs of a service are taken.
+	// Knows reports whether jobs of a service are accepted.
 	Knows(s ident.Service) bool
-	// MaxTasks bounds a job, Deadline is given to jobs that name none; zero is none.
+	// MaxTasks returns the largest number of tasks in a job of a service, or zero for no bound.
 	MaxTasks(s ident.Service) int
+	// Deadline returns the deadline of a service's jobs that name none, or zero for no deadline.
 	Deadline(s ident.Service) time.Duration
 }
 
 // Handler serves the API.
 type Handler struct {
 	jobs Jobs
-	// services returns what is in force now.
+	// services returns the configuration in force.
 	services func() Services
 	maxBody  int64
 	log      *logrus.Entry
 }
 
-// New returns the API's routes; maxBody bounds a request's body, in bytes.
+// New returns a handler that serves the API. services returns the configuration in force; maxBody bounds a request's body, in bytes.
 func New(jobs Jobs, services func() Services, maxBody int64, log *logrus.Entry) http.Handler {
 	h := &Handler{jobs, services, maxBody, log}
 	r := chi.NewRouter()
@@ -59,19 +62,19 @@
 	r.Put("/v1/jobs/{id}", h.putJob)
 	r.Get("/v1/jobs/{id}", h.getJob)
 	r.Delete("/v1/jobs/{id}", h.deleteJob)
-	r.Get("/readyz", web.Readiness(jobs.Ready)) // the balancer's check: an entry that leaves is not ready
+	r.Get("/readyz", web.Readiness(jobs.Ready)) // checked by the load balancer; an entry that leaves is not ready
 	r.NotFound(h.notFound)
 	r.MethodNotAllowed(h.notFound)
 	return r
 }
 
-// postJob runs a job under an id that nobody else knows: if the answer is lost, so is the job.
+// postJob runs a job under a random id. If the answer is lost, the caller can't ask for the job again, because it doesn't know the id.
 func (h *Handler) postJob(w http.ResponseWriter, r *http.Request) {
 	h.runJob(w, r, job.ID(rand.Uint64()))
 }
 
-// putJob runs a job under the caller's id. Sent again after a lost answer, it runs anew or joins the run that is
-// under way, and no task of it ever runs twice at a time.
+// putJob runs a job under the caller's id. If the caller sends the job again after a lost answer, the job runs again, or the request
+// joins the job that is still running. No task of the job ever runs twice at the same time.
 func (h *Handler) putJob(w http.ResponseWriter, r *http.Request) {
 	id, ok := h.parseJobID(w, r)
 	if !ok {
@@ -80,7 +83,7 @@
 	h.runJob(w, r, id)
 }
 
-// jobID reads the id in a request's path; without a sound one the request is refused.
+// parseJobID parses the id in a request's path. It refuses the request if the id is malformed.
 func (h *Handler) parseJobID(w http.ResponseWriter, r *http.Request) (id job.ID, ok bool) {
 	id, err := job.ParseID(chi.URLParam(r, "id"))
 	if err != nil {
@@ -90,7 +93,7 @@
 	return id, true
 }
 
-// run reads a job, submits it and answers with its end or, if it is to be kept, with its acceptance.
+// runJob parses a job and submits it. It answers when the job has ended or, for a job to be kept, when the job is accepted.
 func (h *Handler) runJob(w http.ResponseWriter, r *http.Request, id job.ID) {
 	began := boottime.Now()
 	var body api.Job
@@ -109,7 +112,7 @@
 	}
 	a, err := h.jobs.Submit(r.Context(), request)
 	if err != nil {
-		// A caller that has closed only its sending side still reads, and must not take nothing for a result.
+		// A caller that has closed only its sending side still reads. It must not take an empty answer for a result.
 		h.log.WithFields(logrus.Fields{"job": id, "after_ms": boottime.Since(began).Milliseconds(), "error": err.Error()}).Info("caller_gone")
 		a = dispatch.Answer{State: verdict.Unresolved, Verdict: verdict.MayHaveRun, Reason: verdict.CallerGone}
 	}
@@ -118,7 +121,7 @@
 	})
 }
 
-// readBody reads a request's body into a job; one that can't be read is refused.
+// readBody decodes a request's body into body. It refuses the request if the body is malformed or too large.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, body *api.Job) (ok bool) {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, h.maxBody+1))
 	if err != nil {
@@ -126,7 +129,7 @@
 		return false
 	}
 	if int64(len(raw)) > h.maxBody {
-		h.refuse(w, http.StatusRequestEntityTooLarge, verdict.TooLarge, "body", "the body is too large")
+		h.refuse(w, http.StatusRequestEntityTooLarge, verdict.TooLarge, "body", fmt.Sprintf("the body is larger than %d bytes", h.maxBody))
 		return false
 	}
 	if err := json.Unmarshal(raw, body); err != nil {
@@ -136,27 +139,27 @@
 	return true
 }
 
-// apply puts in force what operators say of the job's service, and the deadline. A problem is told by its field and
-// a message.
+// applyServicePolicy checks a job against its service's configuration and sets the job's deadline. If the job is invalid, it returns the
+// name of the offending field and a message.
 func (h *Handler) applyServicePolicy(r *dispatch.Request, body *api.Job, began time.Time) (field, message string) {
-	in := h.services()
-	if !in.Knows(r.Route.Service) {
-		return "service", "there is no such service"
+	services := h.services()
+	if !services.Knows(r.Route.Service) {
+		return "service", fmt.Sprintf("service %q does not exist", r.Route.Service)
 	}
-	if most := in.MaxTasks(r.Route.Service); most > 0 && r.Spec.TaskCount() > most {
-		return "steps", fmt.Sprintf("%d tasks; the service allows %d", r.Spec.TaskCount(), most)
+	if limit := services.MaxTasks(r.Route.Service); limit > 0 && r.Spec.TaskCount() > limit {
+		return "steps", fmt.Sprintf("the job has %d tasks, but the service allows at most %d", r.Spec.TaskCount(), limit)
 	}
-	patience := time.Duration(body.DeadlineMs) * time.Millisecond
-	if patience == 0 {
-		patience = in.Deadline(r.Route.Service)
+	wait := time.Duration(body.DeadlineMs) * time.Millisecond
+	if wait == 0 {
+		wait = services.Deadline(r.Route.Service)
 	}
-	if patience > 0 {
-		r.Deadline = began.Add(patience)
+	if wait > 0 {
+		r.Deadline = began.Add(wait)
 	}
 	return "", ""
 }
 
-// status is the HTTP status of an answer.
+// httpStatus returns the HTTP status of an answer.
 func httpStatus(a dispatch.Answer) int {
 	switch {
 	case a.State == verdict.Complete, a.State == verdict.Failed:
@@ -173,15 +176,15 @@
 	return http.StatusServiceUnavailable
 }
 
-// getJob tells a job's state. Of a job that is not kept, nothing is known once it was answered.
+// getJob answers with a job's state. A job that is not kept is unknown once it was answered.
 func (h *Handler) getJob(w http.ResponseWriter, r *http.Request) { h.answerState(w, r, h.jobs.State) }
 
-// deleteJob ends a job: nothing of it starts any more, and what runs is stopped.
+// deleteJob cancels a job: no further task of it starts, and its running tasks are stopped.
 func (h *Handler) deleteJob(w http.ResponseWriter, r *http.Request) {
 	h.answerState(w, r, h.jobs.Cancel)
 }
 
-// state answers with a job's state, as ask tells it.
+// answerState answers with a job's state, which it gets by calling ask.
 func (h *Handler) answerState(w http.ResponseWriter, r *http.Request, ask func(context.Context, job.ID) (verdict.State, error)) {
 	id, ok := h.parseJobID(w, r)
 	if !ok {
@@ -194,7 +197,7 @@
 		a.State, a.Reason, a.Message = verdict.Unresolved, verdict.Unreachable, err.Error()
 		h.write(w, http.StatusServiceUnavailable, a)
 	case state == verdict.Unknown:
-		a.Reason, a.Message = verdict.NotFound, "there is no such job; answered jobs that are not kept are forgotten"
+		a.Reason, a.Message = verdict.NotFound, "the job does not exist; a job that is not kept is forgotten once it is answered"
 		h.write(w, http.StatusNotFound, a)
 	case state == verdict.Cancelled:
 		a.Reason = verdict.ByCaller
@@ -208,10 +211,11 @@
 }
 
 func (h *Handler) notFound(w http.ResponseWriter, _ *http.Request) {
-	h.refuse(w, http.StatusNotFound, verdict.NotFound, "path", "there is no such call")
+	h.refuse(w, http.StatusNotFound, verdict.NotFound, "path", "the API has no call with this method and path")
 }
 
-// refuse answers a request that is not taken. It starts nothing; an earlier one under the same id may have.
+// refuse answers a request that is not accepted. The verdict is MayHaveRun, because an earlier request with the same id may have
+// started the job.
 func (h *Handler) refuse(w http.ResponseWriter, code int, reason verdict.Reason, field, message string) {
 	h.log.WithFields(logrus.Fields{"status": code, "reason": reason, "field": field, "message": message}).Info("request_refused")
 	h.write(w, code, &api.Answer{State: verdict.Refused, Verdict: verdict.MayHaveRun, Reason: reason, Field: field, Message: message})
--- a/internal/entry/caller/read.go
+++ b/internal/entry/caller/read.go
@@ -11,15 +11,17 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// The objective of a job that names none, and the attempts.
 const (
-	defaultStretch  = 2
-	defaultTarget   = 100 * time.Millisecond
+	// defaultTarget and defaultStretch are the objective of a job that names none.
+	defaultStretch = 2
+	defaultTarget  = 100 * time.Millisecond
+	// defaultAttempts is the number of attempts of a job that names none.
 	defaultAttempts = 3
-	maxAttempts     = 100
+	// maxAttempts bounds the attempts that a job may name.
+	maxAttempts = 100
 )
 
-// read checks a job. A problem is told by its field and a message.
+// parseJob converts a job to a request. If the job is invalid, it returns the name of the offending field and a message.
 func parseJob(b *api.Job) (r dispatch.Request, field, message string) {
 	switch {
 	case b.Service == "":
@@ -27,11 +29,11 @@
 	case len(b.Steps) == 0:
 		return r, "steps", "must not be empty"
 	case b.DeadlineMs < 0:
-		return r, "deadline_ms", "must not be negative"
+		return r, "deadline_ms", fmt.Sprintf("is %d, must not be negative", b.DeadlineMs)
 	case b.ObjectiveMs < 0:
-		return r, "objective_ms", "must not be negative"
+		return r, "objective_ms", fmt.Sprintf("is %d, must not be negative", b.ObjectiveMs)
 	case b.Attempts < 0 || b.Attempts > maxAttempts:
-		return r, "attempts", "must be 0 to 100"
+		return r, "attempts", fmt.Sprintf("is %d, must be from 0 to %d", b.Attempts, maxAttempts)
 	}
 	spec := &job.Spec{Text: b.Spec, BestEffort: !b.Keep}
 	for i := range b.Steps {
@@ -54,24 +56,24 @@
 	return dispatch.Request{Spec: spec, Route: queue}, "", ""
 }
 
-// readStep checks one step. A problem is told by its field and a message.
+// parseStep converts the step at index number. If the step is invalid, it returns the name of the offending field and a message.
 func parseStep(number int, s *api.Step) (out job.Step, field, message string) {
 	at := func(name string) string { return fmt.Sprintf("steps[%d].%s", number, name) }
 	switch {
 	case s.Count < 1:
-		return out, at("count"), "must be at least 1"
+		return out, at("count"), fmt.Sprintf("is %d, must be at least 1", s.Count)
 	case s.CPUMillis < 0:
-		return out, at("cpu_millis"), "must not be negative"
+		return out, at("cpu_millis"), fmt.Sprintf("is %d, must not be negative", s.CPUMillis)
 	case s.MemMB < 0:
-		return out, at("mem_mb"), "must not be negative"
+		return out, at("mem_mb"), fmt.Sprintf("is %d, must not be negative", s.MemMB)
 	case s.GPU < 0:
-		return out, at("gpu"), "must not be negative"
+		return out, at("gpu"), fmt.Sprintf("is %d, must not be negative", s.GPU)
 	case s.EstimateMs < 0:
-		return out, at("estimate_ms"), "must not be negative"
+		return out, at("estimate_ms"), fmt.Sprintf("is %d, must not be negative", s.EstimateMs)
 	}
 	for _, before := range s.After {
 		if int(before) >= number {
-			return out, at("after"), fmt.Sprintf("%d is no earlier step", before)
+			return out, at("after"), fmt.Sprintf("lists step %d, which is not before step %d", before, number)
 		}
 	}
 	return job.Step{
