--- a/internal/entry/operator/change.go
+++ b/internal/entry/operator/change.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"io"
 	"net/http"
 	"slices"
@@ -22,19 +23,21 @@
 const (
 	// maxSpec bounds an object's content, in bytes.
 	maxSpec = 64 << 10
-	// HeaderChange is the header that names a change, so that sending it again does not repeat it.
+	// HeaderChange is the header that carries a change's id. A change that is sent again with the same id takes effect only once.
 	HeaderChange = "Hillreel-Change-Id"
 )
 
-// etag is an object's version as a header has it.
+// etag returns an object's version in the form of the ETag header.
 func etag(version uint64) string { return `"` + strconv.FormatUint(version, 10) + `"` }
 
-// Changed is the answer to an accepted change.
+// Changed is the body of the answer to an accepted change.
 type Changed struct {
 	Object object.Object `json:"object"`
-	// Version is the configuration's version that has the change; an entry has it in force once it lists it.
-	Version  ident.ConfigVersion `json:"config_version"`
-	ChangeID string              `json:"change_id"`
+	// Version is the first version of the configuration with the change. The change is in force at an entry once the entry lists
+	// this version.
+	Version ident.ConfigVersion `json:"config_version"`
+	// ChangeID is the id from HeaderChange, or a new one if the request had none.
+	ChangeID string `json:"change_id"`
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
@@ -51,10 +54,10 @@
 	s.change(w, r, func(json.RawMessage, object.Object) (json.RawMessage, error) { return nil, nil })
 }
 
-// content makes an object's new spec of a request's body and the present object; nil deletes.
+// specFunc computes an object's new spec from a request's body and the present object. A nil spec deletes the object.
 type specFunc func(body json.RawMessage, present object.Object) (json.RawMessage, error)
 
-// change does one conditional change.
+// change handles one conditional change.
 func (s *Server) change(w http.ResponseWriter, r *http.Request, newSpec specFunc) {
 	c := store.Change{ID: r.Header.Get(HeaderChange), Who: ops.PrincipalOf(r.Context()).Name, Ref: refOf(r)}
 	if c.ID == "" {
@@ -89,7 +92,7 @@
 	s.apply(w, r, c)
 }
 
-// apply puts a change that was checked into the store, and answers.
+// apply writes a valid change to the store and answers the request.
 func (s *Server) apply(w http.ResponseWriter, r *http.Request, c store.Change) {
 	audit, err := s.store.Apply(r.Context(), c)
 	fields := logrus.Fields{"object": c.Ref, "who": c.Who, "change": c.ID}
@@ -105,28 +108,29 @@
 	write(w, http.StatusOK, Changed{object.Object{Ref: c.Ref, Version: audit.To, Spec: c.Spec}, audit.Version, c.ID})
 }
 
-// forbidden says that a principal lacks the right to a change.
+// forbiddenError says that a principal may not make a change.
 type forbiddenError struct{ message string }
 
-// Error says why.
+// Error returns the message for the operator.
 func (f *forbiddenError) Error() string { return f.message }
 
-// precondition reads the version that the operator saw: If-Match with an ETag, or If-None-Match: * to create.
+// precondition returns the object version that the operator read, from the header If-Match. It returns 0 for If-None-Match: *, which
+// creates an object.
 func precondition(r *http.Request) (uint64, error) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, nil
 	}
 	v, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
 	if err != nil || v == 0 {
-		return 0, &object.FieldError{Field: "If-Match", Reason: "give the ETag that you read, or If-None-Match: * to create"}
+		return 0, &object.FieldError{Field: "If-Match", Reason: fmt.Sprintf("is %q; want the ETag that was read, or If-None-Match: * to create the object", r.Header.Get("If-Match"))}
 	}
 	return v, nil
 }
 
-// check refuses what the principal may not do, and specs that can't be meant.
+// authorizeAndValidate returns an error if the principal may not make changes, or if the new spec is invalid.
 func (s *Server) authorizeAndValidate(r *http.Request, c store.Change) error {
 	if role := ops.PrincipalOf(r.Context()).Role; role != ops.RoleAll {
-		return &forbiddenError{"the role " + string(role) + " changes nothing"}
+		return &forbiddenError{"the role " + string(role) + " may not change configuration; the role " + string(ops.RoleAll) + " may"}
 	}
 	if c.Spec == nil {
 		return nil
@@ -134,7 +138,7 @@
 	return object.Check(c.Ref, c.Spec)
 }
 
-// mergePatch applies a JSON merge patch (RFC 7396).
+// mergePatch applies a JSON merge patch (RFC 7396) to a spec.
 func mergePatch(spec, patch json.RawMessage) (json.RawMessage, error) {
 	var base, change any
 	if len(spec) > 0 {
@@ -149,7 +153,7 @@
 	return json.Marshal(merge(base, change))
 }
 
-// merge applies a patch to one value; null removes a field.
+// merge applies a patch to one value. A field that is null in the patch is removed.
 func merge(base, patch any) any {
 	changes, ok := patch.(map[string]any)
 	if !ok {
@@ -169,7 +173,7 @@
 	return out
 }
 
-// sorted returns names in order.
+// sortNames sorts names in place and returns them.
 func sortNames(names []string) []string {
 	slices.Sort(names)
 	return names
--- a/internal/entry/operator/dryrun.go
+++ b/internal/entry/operator/dryrun.go
@@ -8,30 +8,33 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// Moves says what a change would do to one service.
+// ServiceImpact describes the effect that a change would have on one service.
 type ServiceImpact struct {
 	Service ident.Service `json:"service"`
-	// Gained and Lost name the linked upstreams that would begin or cease to serve it.
+	// Gained names the linked upstreams that would begin to serve the service, and Lost those that would cease to serve it.
 	Gained []string `json:"gained,omitempty"`
 	Lost   []string `json:"lost,omitempty"`
-	// Left counts the upstreams that would serve it. Zero: its work would have nowhere to run.
-	Left    int  `json:"left"`
+	// Left is the number of linked upstreams that would serve the service.
+	Left int `json:"left"`
+	// Nowhere is true if Left is zero: the service's jobs could not run.
 	Nowhere bool `json:"nowhere_to_run,omitempty"`
-	// UsedCPU is what runs take now at the upstreams that serve it, LeftCPU what those that would serve it have in all, both in
-	// thousandths of a core and as far as this entry is linked: with less left than used, work is refused.
+	// UsedCPU is the CPU that is now in use at the upstreams that serve the service. LeftCPU is the total CPU of the upstreams that
+	// would serve it. Both are in thousandths of a core and cover only upstreams whose agents are linked to this entry. If LeftCPU is
+	// less than UsedCPU, jobs will be refused.
 	UsedCPU int64 `json:"used_cpu_millis"`
 	LeftCPU int64 `json:"left_cpu_millis"`
 }
 
-// DryRun says what a change would move; nothing was changed.
+// DryRun is the body of the answer to a dry run. It describes the effects of a change that was not made.
 type DryRun struct {
 	Impacts []ServiceImpact `json:"moves"`
-	// Matches names the upstreams that the object selects, if it has a selector over upstreams.
+	// Matches names the linked upstreams that the object selects. It is set only if the change creates or replaces a pool.
 	Matches []string `json:"matches,omitempty"`
-	DryRun  bool     `json:"dry_run"`
+	// DryRun is always true, which tells the body from that of a change.
+	DryRun bool `json:"dry_run"`
 }
 
-// dryRun compares the view in force with the one that a change would make.
+// dryRun compares the configuration in force with the one that would result from a change.
 func (s *Server) dryRun(c store.Change) DryRun {
 	before := s.objects.View()
 	var next []object.Object
@@ -52,7 +55,7 @@
 	return out
 }
 
-// moves lists, for each service, the linked upstreams that one view lets serve it and the other does not.
+// impacts lists, for each service, the linked upstreams that may serve it under only one of the two configurations.
 func (s *Server) impacts(before, after *view.View) []ServiceImpact {
 	byService := make(map[ident.Service]*ServiceImpact)
 	var services []string
@@ -76,7 +79,7 @@
 	return out
 }
 
-// count takes in one upstream: whether it serves now, and whether it would.
+// count adds one upstream. serves tells whether it serves the service now, and would whether it would serve it after the change.
 func (m *ServiceImpact) count(u dispatch.Upstream, serves, would bool) {
 	switch {
 	case would && !serves:
@@ -93,7 +96,7 @@
 	}
 }
 
-// matches names the linked upstreams that a pool would have.
+// matchingUpstreams names the linked upstreams that would belong to a pool after a change.
 func (s *Server) matchingUpstreams(c store.Change, after *view.View) []string {
 	p, err := object.DecodeSpec[object.Pool](object.Object{Ref: c.Ref, Spec: c.Spec})
 	if err != nil {
--- a/internal/entry/operator/operator.go
+++ b/internal/entry/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' API of an entry: configuration objects with versions, conditional
-// changes, dry runs, the audit trail, and how far a change is in force. docs/ADMIN.md describes the calls.
+// Package operator serves an entry's API for operators: versioned configuration objects, conditional changes, dry runs, the audit
+// trail, burn rates, and the state of zones and upstreams. docs/ADMIN.md describes the calls.
 package operator
 
 import (
@@ -20,25 +20,25 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// Store keeps configuration.
+// Store stores configuration objects and their audit trail.
 type Store interface {
 	Apply(ctx context.Context, c store.Change) (store.Audit, error)
 	History(ctx context.Context, r object.Ref) ([]store.Audit, error)
 }
 
-// Objects is the entry's copy of the configuration.
+// Objects is the entry's local copy of the configuration.
 type Objects interface{ View() *view.View }
 
-// Upstreams lists the upstreams whose agents are linked, and what the entry has in each availability zone.
+// Upstreams lists the upstreams whose agents are linked, and the state of each availability zone.
 type Upstreams interface {
 	Upstreams() []dispatch.Upstream
 	Zones() []dispatch.ZoneStatus
 }
 
-// Burn reports how fast services burn their error budgets.
+// BurnReporter reports how fast services use up their error budgets.
 type BurnReporter interface{ Report() []burn.Service }
 
-// Server serves the API.
+// Server serves the operators' API.
 type Server struct {
 	store     Store
 	objects   Objects
@@ -52,7 +52,7 @@
 	return &Server{s, o, u, b, log}
 }
 
-// Routes adds the API's routes; whoever calls them was authorized.
+// Routes adds the API's routes to r. Authorization must happen before the handlers are called.
 func (s *Server) Routes(r chi.Router) {
 	r.Get("/v1/config", s.list)
 	r.Get("/v1/config/{kind}", s.list)
@@ -72,13 +72,13 @@
 	Reason  verdict.Reason  `json:"reason"`
 	Field   string          `json:"field,omitempty"`
 	Message string          `json:"message"`
-	// Present is the object as it is, with a conflict.
+	// Present is the present object, if the refused change conflicts with it.
 	Present *object.Object `json:"present,omitempty"`
-	// ChangeID lets the same change be sent again without taking effect twice.
+	// ChangeID is the change's id. A change that is sent again with this id takes effect only once.
 	ChangeID string `json:"change_id,omitempty"`
 }
 
-// List is a list of objects at one version of the configuration.
+// List holds objects of one version of the configuration.
 type List struct {
 	Version ident.ConfigVersion `json:"config_version"`
 	Objects []object.Object     `json:"objects"`
@@ -94,7 +94,7 @@
 	write(w, http.StatusOK, out)
 }
 
-// refOf names the object that a request's path is about.
+// refOf returns the kind and name of the object in a request's path.
 func refOf(r *http.Request) object.Ref {
 	return object.Ref{Kind: object.Kind(chi.URLParam(r, "kind")), Name: object.Name(chi.URLParam(r, "name"))}
 }
@@ -103,7 +103,7 @@
 	o, ok := s.objects.View().Find(refOf(r))
 	if !ok {
 		writeRefusal(w, http.StatusNotFound, Refusal{
-			Verdict: verdict.NotRun, Reason: verdict.NotFound, Field: "name", Message: "there is no " + refOf(r).String(),
+			Verdict: verdict.NotRun, Reason: verdict.NotFound, Field: "name", Message: refOf(r).String() + " does not exist",
 		})
 		return
 	}
@@ -111,7 +111,7 @@
 	write(w, http.StatusOK, o)
 }
 
-// Trail is the audit trail, oldest first.
+// AuditTrail holds the changes of the audit trail, oldest first.
 type AuditTrail struct {
 	Changes []store.Audit `json:"changes"`
 }
@@ -129,7 +129,7 @@
 	write(w, http.StatusOK, AuditTrail{changes})
 }
 
-// refuseError maps an error to a status and a body.
+// writeError answers a request with the status and body that correspond to an error.
 func (s *Server) writeError(w http.ResponseWriter, err error, changeID string) {
 	var field *object.FieldError
 	var denied *forbiddenError
@@ -159,5 +159,5 @@
 func writeRefusal(w http.ResponseWriter, status int, r Refusal) { write(w, status, r) }
 
 func write(w http.ResponseWriter, status int, v any) {
-	web.WriteJSON(w, status, v) //nolint:errcheck // the operator has gone
+	web.WriteJSON(w, status, v) //nolint:errcheck // a write fails only if the operator has gone
 }
