--- a/internal/entry/burn/burn_test.go
+++ b/internal/entry/burn/burn_test.go
@@ -11,6 +11,7 @@
 	"hillreel/internal/entry/burn"
 )
 
+// TestBurn checks the burn rates of two budgets, the end of windows, and the contributors, with 20% slow jobs and later only incomplete ones.
 func TestBurn(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	r := burn.New(func() time.Time { return now }, func() []object.Objective {
@@ -28,7 +29,7 @@
 	r.RecordJob(burn.Job{Service: "other"})
 	rates := r.Report()[0].Rates
 	qt.Assert(t, rates[0].Jobs, qt.Equals, 100)
-	qt.Assert(t, rates[0].Fast > 1.99 && rates[0].Fast < 2.01, qt.IsTrue, qt.Commentf("20%% slow where 10%% may be: %v", rates[0].Fast))
+	qt.Assert(t, rates[0].Fast > 1.99 && rates[0].Fast < 2.01, qt.IsTrue, qt.Commentf("20%% of jobs were slow, 10%% are allowed: %v", rates[0].Fast))
 	qt.Assert(t, rates[0].Complete, qt.Equals, 0.0)
 
 	now = now.Add(10 * time.Minute)
@@ -36,7 +37,7 @@
 		job(false, time.Second, "u7")
 	}
 	s := r.Report()[0]
-	qt.Assert(t, s.Rates[0].Jobs, qt.Equals, 100, qt.Commentf("the first jobs have left the 5 minutes"))
+	qt.Assert(t, s.Rates[0].Jobs, qt.Equals, 100, qt.Commentf("the first jobs are older than the 5 minutes"))
 	qt.Assert(t, s.Rates[1].Jobs, qt.Equals, 200)
 	qt.Assert(t, s.Rates[1].Complete > 49 && s.Rates[1].Complete < 51, qt.IsTrue, qt.Commentf("%v", s.Rates[1].Complete))
 	qt.Assert(t, s.Contributors, qt.HasLen, 1)
