--- a/internal/entry/process/coverage.go
+++ b/internal/entry/process/coverage.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// coverageEvery is the pause between two looks at which services have too few upstreams here.
+	// coverageEvery is the pause between two checks for services with too few linked upstreams.
 	coverageEvery = 2 * time.Second
-	// fewUpstreams is below how many linked upstreams of a service more are asked for: with fewer, the chance that none of
-	// them has room grows; and a service with so few may have none here at all.
+	// minUpstreams is the number of linked upstreams of a service below which the entry asks for more. With fewer upstreams, it is more
+	// likely that none of them has room. A small service may even have no linked upstream at all.
 	minUpstreams = 24
-	// lookedBefore is how many looks in a row must find too few: while a region starts, every entry is linked to few agents.
+	// minShortLooks is the number of checks in a row that must find too few upstreams, because every entry is linked to few agents while
+	// a region starts.
 	minShortLooks = 4
 )
 
-// coverage asks for more agents of services with few upstreams. While agents link to a part of the entries only, an entry
-// could otherwise know none of a small service's.
+// coverage asks agents of services with few linked upstreams to link to this entry. If there are so many entries that each agent links to
+// only some of them, an entry might otherwise be linked to no upstream of a small service.
 type coverage struct {
 	node     *node.Node
 	dir      *members.Directory
 	register *members.Registrar
-	// most is to how many entries agents link; with no more entries there is nothing to ask for.
+	// maxLinks is the number of entries to which an agent links. If there are no more entries than that, all agents are linked already.
 	maxLinks int
 	cancel   context.CancelFunc
-	// short counts the looks in a row that have found too few upstreams of a service.
+	// shortLooks counts, for each service, the latest checks in a row that have found too few upstreams.
 	shortLooks map[ident.Service]int
 }
 
@@ -40,7 +41,7 @@
 	return &coverage{node: n, dir: d, register: r, maxLinks: most, shortLooks: make(map[ident.Service]int)}
 }
 
-// Start begins to look.
+// Start starts the periodic checks.
 func (c *coverage) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// Stop ends it.
+// Stop ends the checks.
 func (c *coverage) Stop() { c.cancel() }
 
 func (c *coverage) run(ctx context.Context) {
@@ -64,8 +65,8 @@
 	}
 }
 
-// look takes in the routes and the upstreams that are linked now, and lists the services of which more are wanted. Those that
-// are cordoned don't count: what is left must be known well enough to find room in it.
+// servicesShort does one check with the present routes and linked upstreams. It lists the services that need more linked upstreams.
+// Cordoned upstreams don't count, because there must be enough others to find room at.
 func (c *coverage) servicesShort(routes []route.Route, upstreams []dispatch.Upstream) []ident.Service {
 	count := make(map[ident.Service]int)
 	for _, u := range upstreams {
--- a/internal/entry/process/coverage_test.go
+++ b/internal/entry/process/coverage_test.go
@@ -10,9 +10,9 @@
 	"hillreel/internal/entry/dispatch"
 )
 
-// TestCoverage: more upstreams of a service are asked for once several looks in a row have found few; not while a region
-// starts, when every entry is linked to few agents. In a sweep at 300 VMs all entries had asked within two seconds of their
-// start, and every agent linked to every entry.
+// TestCoverage checks that more upstreams of a service are asked for only after several checks in a row have found too few. It guards
+// against asking while a region starts and every entry is linked to few agents. With 300 VMs, all entries asked within two seconds of
+// their start, and then every agent linked to every entry.
 func TestCoverage(t *testing.T) {
 	routes := []route.Route{{Name: "a", Service: "large"}, {Name: "b", Service: "small"}, {Name: "c", Service: "large"}}
 	linked := func(large, small int) (out []dispatch.Upstream) {
--- a/internal/entry/process/drain.go
+++ b/internal/entry/process/drain.go
@@ -12,26 +12,28 @@
 )
 
 const (
-	// lastAnswers is for those who still wait to be answered: the answers have time to get to their callers, and what is
-	// stopped is gone (50 ms) before a caller can send its job again.
+	// lastAnswersTime is the time for answering the callers that still wait. It lets the answers reach their callers. It also lets stopped
+	// runs end (50 ms) before a caller can send its job again.
 	lastAnswersTime = 200 * time.Millisecond
-	// leaveMargin is what of the grace is left then: 50 ms to hand jobs over, 300 ms to take the entry's row out of the store,
-	// 100 ms to write logs.
+	// stopReserve is the part of the grace that remains after the last answers: 50 ms to hand jobs over, 300 ms to remove the entry's row
+	// from the store, and 100 ms to write logs.
 	stopReserve = settings.LeaveReserve - lastAnswersTime
-	// handOverTime is what the store has for taking in that kept jobs may be taken over: some ten times its usual answer.
+	// handOverTime is how long the entry waits for the store to write that its kept jobs may be taken over. It is about ten times the
+	// store's usual response time.
 	handOverTime = 50 * time.Millisecond
 )
 
-// listener is a service that can stop listening and let what it serves end.
+// listener is a server that can stop accepting connections and wait for its requests in progress.
 type listener interface {
-	// Leave lets answers ask their callers to use other connections.
+	// Leave makes the server's answers ask the callers to use other connections.
 	Leave()
+	// Shutdown stops listening and waits for the requests in progress, until ctx ends.
 	Shutdown(ctx context.Context) error
 }
 
-// Drain leaves: the entry is unready at once, but takes requests until the balancer has noticed; then it answers
-// those in progress, and all stops. The grace of the settings bounds it: shortly before its end, those who still wait are
-// told what is known of their jobs.
+// Drain stops the entry gracefully. The entry is unready at once, but accepts requests until the load balancer has noticed. Then it
+// answers the requests in progress and stops. The grace setting bounds the whole drain: shortly before its end, callers that still wait
+// are told what is known of their jobs.
 func (p *Process) Drain() {
 	began := time.Now()
 	end := began.Add(p.set.Entry.Grace - stopReserve)
@@ -41,18 +43,18 @@
 		l.Leave()
 	}
 	time.Sleep(p.set.Entry.Unready)
-	last := time.AfterFunc(time.Until(end.Add(-lastAnswersTime)), p.Node.CloseAll)
-	defer last.Stop()
+	closeTimer := time.AfterFunc(time.Until(end.Add(-lastAnswersTime)), p.Node.CloseAll)
+	defer closeTimer.Stop()
 	p.shutdown(end, p.listeners(nameFront, nameCallers))
 	p.Node.HandOver()
 	time.Sleep(handOverTime)
-	// Operators look at metrics until the end, and their changes wait for the store.
+	// The metrics server stops last: operators read metrics until the end, and their changes may still wait for the store.
 	p.shutdown(end, p.listeners(nameMetrics))
 	p.Stop()
 	p.log.WithField("took_ms", time.Since(began).Milliseconds()).Info("left")
 }
 
-// listeners returns the servers of some names; those without an address are not served.
+// listeners returns the servers with these names. Servers without an address are left out, because they are not registered.
 func (p *Process) listeners(names ...string) []listener {
 	var out []listener
 	for _, name := range names {
@@ -63,7 +65,7 @@
 	return out
 }
 
-// shutdown lets servers end, side by side.
+// shutdown shuts servers down concurrently. Requests that are still in progress at end are cut.
 func (p *Process) shutdown(end time.Time, listeners []listener) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
--- a/internal/entry/process/process.go
+++ b/internal/entry/process/process.go
@@ -1,4 +1,4 @@
-// Package process puts an entry's services together.
+// Package process builds, starts and stops the services of an entry.
 package process
 
 import (
@@ -35,7 +35,7 @@
 	"hillreel/internal/link/members"
 )
 
-// Names under which the services register.
+// The names under which the services register in the kernel.
 const (
 	nameNode      = "entry"
 	nameConfig    = "config"
@@ -50,21 +50,22 @@
 	nameMetrics   = "metrics"
 )
 
-// Store is what an entry needs of the platform's store.
+// Store is the part of the platform's store that an entry uses.
 type Store interface {
 	follow.Store
 	store.Rows
 	jobstore.Store
 }
 
-// Deps are what an entry gets from outside.
+// Deps holds the dependencies of an entry.
 type Deps struct {
 	Store Store
-	// Config is where the operator's configuration lies, and Decode reads it. Cordons is the same table, as the cordons in it are read.
+	// Config is the key of the row with the operator's configuration, which Decode decodes. Cordons describes how to read the cordons
+	// in the same table.
 	Config  rows.Key
 	Decode  node.Decoder
 	Cordons cordon.Table
-	// Front makes the handler of the platform's clients.
+	// Front returns the handler that serves the platform's clients.
 	Front func(n *node.Node) http.Handler
 	Log   *logrus.Entry
 }
@@ -75,15 +76,16 @@
 	log    *logrus.Entry
 	kernel *kernel.Kernel
 	Node   *node.Node
-	Front  *web.Server
+	// Front serves the platform's clients.
+	Front *web.Server
 	// Metrics serves metrics and the operators' API.
 	Metrics *web.Server
-	// Callers serves hillreel's own API.
+	// Callers serves hillreel's own API for callers.
 	Callers *web.Server
 	bus     *bus.Bus
 }
 
-// New builds an entry's services.
+// New builds and registers an entry's services.
 func New(set *settings.Settings, d Deps) (*Process, error) {
 	p := &Process{set: set, log: d.Log, kernel: kernel.New(d.Log), bus: bus.New()}
 	objects := store.NewReplica(func(v *view.View) { p.Node.SetAllowed(v.Serves) }, d.Log)
@@ -95,8 +97,8 @@
 	entry := members.Entry{Name: set.Node.Name, Incarnation: p.Node.Incarnation().String(), Zone: ident.Zone(set.Node.Zone)}
 	register := members.NewRegistrar(d.Store, advertisedAddress(set), entry, dir.Len, d.Log)
 	p.Front = web.New("clients", set.Entry.Front, d.Front(p.Node), callerLimits(set))
-	inForce := func() caller.Services { return objects.View() }
-	p.Callers = web.New("callers", set.Entry.Callers, caller.New(p.Node, inForce, int64(set.Entry.MaxBody), d.Log), callerLimits(set))
+	servicesInForce := func() caller.Services { return objects.View() }
+	p.Callers = web.New("callers", set.Entry.Callers, caller.New(p.Node, servicesInForce, int64(set.Entry.MaxBody), d.Log), callerLimits(set))
 	p.Metrics = web.New("metrics", set.Node.Metrics, ops.Handler(ops.Tokens(set.Entry), p.Node.Ready, api.Routes), web.Operators)
 	metrics.Report("zones", func() any { return p.Node.Zones() })
 	configFollower := follow.New(d.Store, d.Config.Table, follow.SinglePart, set.Platform.ConfigWait, p.configReader(d), d.Log).With(follow.Options{
@@ -123,18 +125,18 @@
 	return p, p.subscribe()
 }
 
-// freshPolls is how many entries, on average, ask for the configuration anew within its wait. A call that the store has taken and will
-// never answer is noticed after its wait only; an entry that hangs so gets a new configuration from agents, which have it from those that do
-// not. So the calls of a region need not grow with its entries.
+// pollsPerWait is how many entries of a region, on average, poll the configuration anew within Platform.ConfigWait. An entry notices only
+// at the end of its wait that the store will never answer its call. Meanwhile it gets a new configuration from agents, which have it from
+// entries whose calls are answered. Therefore the region's total rate of calls need not grow with the number of its entries.
 const pollsPerWait = 6
 
-// configWait is how long one call waits for a change of the configuration, in a region of so many entries.
+// configWait returns how long one call waits for a change of the configuration, in a region with the given number of entries.
 func configWait(set *settings.Settings, entries int) time.Duration {
 	shared := max(entries, pollsPerWait)
 	return min(set.Platform.ConfigWait*time.Duration(shared)/pollsPerWait, max(set.Platform.ListWait, set.Platform.ConfigWait))
 }
 
-// servers lists the servers that the settings give an address. They start last, when there is what they serve.
+// servers lists the servers that have an address in the settings. They start last, after the services that they need.
 func (p *Process) servers() []namedService {
 	var out []namedService
 	if p.set.Entry.Front != "" {
@@ -150,7 +152,7 @@
 	return append(out, namedService{nameMetrics, p.Metrics})
 }
 
-// recordBurn counts answers in the burn report.
+// recordBurn returns a function that records answers for the burn report.
 func recordBurn(r *burn.Recorder) func(*route.Route, dispatch.Answer, dispatch.Summary) {
 	return func(queue *route.Route, a dispatch.Answer, s dispatch.Summary) {
 		r.RecordJob(burn.Job{
@@ -159,13 +161,13 @@
 	}
 }
 
-// named is a service with the name under which it registers.
+// namedService is a service with the name under which it registers.
 type namedService struct {
 	name    string
 	service kernel.Service
 }
 
-// advertised is where agents find the entry.
+// advertisedAddress returns the address at which agents find the entry.
 func advertisedAddress(set *settings.Settings) ident.Address {
 	if set.Node.Advertise != "" {
 		return ident.Address(set.Node.Advertise)
@@ -173,7 +175,7 @@
 	return ident.Address(set.Node.Link)
 }
 
-// callers bounds what callers may do.
+// callerLimits returns the limits of the servers for clients and callers.
 func callerLimits(set *settings.Settings) web.Options {
 	return web.Options{
 		HeaderTimeout: set.Entry.HeaderTimeout, ReadTimeout: set.Entry.ReadTimeout, IdleTimeout: set.Entry.IdleTimeout,
@@ -184,7 +186,8 @@
 // maxHeader bounds a request's headers, in bytes.
 const maxHeader = 16 << 10
 
-// configReader decodes the operator's configuration and cordons and announces them, cordons first: a configuration lets jobs in.
+// configReader returns a handler that passes the operator's cordons and configuration to the node. The cordons come first, because a
+// configuration lets the entry accept jobs.
 func (p *Process) configReader(d Deps) follow.Handler {
 	cordons := cordon.NewReader(d.Cordons, p.Node.SetCordons, p.log)
 	return func(c follow.Changes) {
@@ -203,7 +206,7 @@
 	}
 }
 
-// objectsReader takes in hillreel's own configuration and the cordons in it.
+// objectsReader returns a handler that applies hillreel's own configuration objects and passes the cordons in them to the node.
 func (p *Process) objectsReader(objects *store.Replica) follow.Handler {
 	cordons := cordon.NewReader(store.Cordons, p.Node.SetCordons, p.log)
 	return func(c follow.Changes) {
@@ -212,14 +215,14 @@
 	}
 }
 
-// publish announces an event inside the process.
+// publish publishes an event on the process's bus.
 func (p *Process) publish(t bus.Topic, event any) {
 	if err := p.bus.Publish(t, event); err != nil {
 		p.log.WithFields(logrus.Fields{"topic": t, "error": err.Error()}).Error("event_not_published")
 	}
 }
 
-// subscribe hands events inside the process to whom they concern.
+// subscribe connects the events on the process's bus to their handlers.
 func (p *Process) subscribe() error {
 	return bus.Subscribe(context.Background(), p.bus, bus.Entries, p.Node.SetEntries)
 }
@@ -227,7 +230,7 @@
 // Start starts all services in order.
 func (p *Process) Start(ctx context.Context) error { return p.kernel.Start(ctx) }
 
-// Stop ends at once; requests in progress are cut.
+// Stop stops all services at once. Requests in progress are cut.
 func (p *Process) Stop() {
 	p.kernel.Stop()
 	if err := p.bus.Close(); err != nil {
--- a/internal/entry/process/process_test.go
+++ b/internal/entry/process/process_test.go
@@ -9,8 +9,8 @@
 	"hillreel/internal/core/settings"
 )
 
-// TestConfigPolls: in a region of few entries each asks for the configuration as often as the settings say; with more, all of them together
-// ask no more often, and none waits longer than for other tables.
+// TestConfigPolls guards against configuration polls that grow with the number of entries. In a region of few entries, each polls as often
+// as the settings say. With more entries, all of them together poll no more often, and no poll waits longer than those of other tables.
 func TestConfigPolls(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
