--- a/internal/agent/node/calls.go
+++ b/internal/agent/node/calls.go
@@ -10,7 +10,7 @@
 	"hillreel/internal/core/boottime"
 )
 
-// Upstream makes calls to the upstream beside this agent. An error goes with an answer of Unanswered or Unclear.
+// Upstream makes calls to the upstream on this agent's VM. An error comes with the answer Unanswered or Unclear.
 type Upstream interface {
 	Start(ctx context.Context, c call.Start) (call.Answer, call.Clock, error)
 	Stop(ctx context.Context, c call.Stop) (call.Answer, call.Clock, error)
@@ -18,19 +18,19 @@
 }
 
 const (
-	// leastPatience bounds from below how long an order is waited for. A start usually takes a millisecond; to take a slow
-	// answer for a lost one costs two calls and does no harm.
-	minPatience = 25 * time.Millisecond
-	// patienceFactor times the usual time of an order is how long one is waited for.
-	patienceFactor = 20
+	// minCallTimeout is the shortest timeout of a start or stop call. A start usually takes a millisecond. If a slow answer is taken for a
+	// lost one, this costs two more calls and does no other harm.
+	minCallTimeout = 25 * time.Millisecond
+	// callTimeoutFactor is the factor between the average time of start and stop calls and their timeout.
+	callTimeoutFactor = 20
 )
 
-// caller makes the keeper's calls, each on a goroutine of its own.
+// caller makes the controller's calls to the upstream, each on its own goroutine.
 type caller Node
 
-// order makes one order with the patience of the moment, and posts its end.
-func (c *caller) callWithTimeout(what string, fields logrus.Fields, do func(ctx context.Context) (call.Answer, call.Clock, error), done func(call.Answer, call.Clock) any) {
-	limit := c.patience.Limit()
+// callWithTimeout calls do with the present timeout, and posts orderDone with what done returns. event and fields are for the log if do fails.
+func (c *caller) callWithTimeout(event string, fields logrus.Fields, do func(ctx context.Context) (call.Answer, call.Clock, error), done func(call.Answer, call.Clock) any) {
+	limit := c.callTimeout.Limit()
 	go func() {
 		ctx, cancel := context.WithTimeout(c.ctx, limit)
 		defer cancel()
@@ -38,7 +38,7 @@
 		a, clock, err := do(ctx)
 		took := boottime.Since(began)
 		if err != nil {
-			c.log.WithFields(fields).WithFields(logrus.Fields{"limit_ms": limit.Milliseconds(), "error": err.Error()}).Info(what)
+			c.log.WithFields(fields).WithFields(logrus.Fields{"limit_ms": limit.Milliseconds(), "error": err.Error()}).Info(event)
 		}
 		c.loop.Post(orderDone{took, limit, a != call.Unanswered, done(a, clock)})
 	}()
@@ -58,9 +58,9 @@
 		func(a call.Answer, clock call.Clock) any { return stopDone{o, a, clock} })
 }
 
-// Hold extends the lease and asks what runs.
+// Hold extends the lease and asks which runs are at the upstream.
 func (c *caller) Hold(o call.Hold) {
-	limit := o.Wait + c.patience.Limit()
+	limit := o.Wait + c.callTimeout.Limit()
 	go func() {
 		ctx, cancel := context.WithTimeout(c.ctx, limit)
 		defer cancel()
--- a/internal/agent/node/config_test.go
+++ b/internal/agent/node/config_test.go
@@ -20,18 +20,20 @@
 	"hillreel/internal/link/wire"
 )
 
-// entry is the other end of an agent's link: it tells which configuration it has, and counts those that it gets.
+// fakeEntry is the other end of an agent's link. Its keep-alives name the configuration that it has, and it counts the configurations that
+// it gets.
 type fakeEntry struct {
 	ln     net.Listener
 	linked chan *session.Session
 
 	mu sync.Mutex
-	// alive is what its keep-alives say.
+	// alive is the content of its keep-alives.
 	alive fleet.KeepAlive
-	got   int
+	// got counts the configurations that arrived.
+	got int
 }
 
-// listen starts an entry of a number; all have the same port.
+// listen starts the entry with the given number, which sets its loopback address. All entries have the same port.
 func listen(t *testing.T, number int, port string) *fakeEntry {
 	host := fmt.Sprintf("127.0.0.%d", number)
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, port))
@@ -50,14 +52,14 @@
 	return e
 }
 
-// serve takes one link of the agent.
+// serve serves one link of the agent.
 func (e *fakeEntry) serve(conn net.Conn, number int) {
 	s, err := session.Accept(conn, &wire.Hello{Role: "entry", Name: conn.LocalAddr().String(), Incarnation: uint64(number), ConfigVersion: 1})
 	if err != nil {
 		return
 	}
 	e.linked <- s
-	s.Receive(func(msgs []*wire.Msg) { //nolint:errcheck // it ends with the test
+	s.Receive(func(msgs []*wire.Msg) { //nolint:errcheck // the session ends with the test
 		for _, m := range msgs {
 			if m.GetConfig() != nil {
 				e.set(func() { e.got++; e.alive.Config = ident.ConfigVersion(m.GetConfig().GetVersion()) })
@@ -66,7 +68,7 @@
 	})
 }
 
-// awaitLink returns the next link of the agent.
+// awaitLink waits for the next link of the agent and returns its session.
 func (e *fakeEntry) awaitLink(t *testing.T) *session.Session {
 	select {
 	case s := <-e.linked:
@@ -77,20 +79,21 @@
 	}
 }
 
+// set applies a change to the entry's state under its lock.
 func (e *fakeEntry) set(change func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change()
 }
 
-// count returns how many configurations it got.
+// count returns the number of configurations that arrived.
 func (e *fakeEntry) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.got
 }
 
-// keepAlive tells what the entry has, every 20 ms until the test ends.
+// keepAlive sends a keep-alive every 20 ms until the test ends.
 func (e *fakeEntry) keepAlive(t *testing.T, s *session.Session) {
 	for t.Context().Err() == nil {
 		e.mu.Lock()
@@ -101,8 +104,8 @@
 	}
 }
 
-// TestConfigGoesToThoseWithout: of a new configuration that most entries read themselves, an agent passes on one copy for each that does
-// not, however many entries it is linked to.
+// TestConfigGoesToThoseWithout guards against agents that flood entries with copies of a new configuration. Most entries read it themselves;
+// an agent sends one copy to each entry that does not, however many entries it is linked to.
 func TestConfigGoesToThoseWithout(t *testing.T) {
 	for _, n := range []int{4, 8} {
 		t.Run(fmt.Sprint(n, " entries"), func(t *testing.T) {
@@ -147,7 +150,7 @@
 	}
 }
 
-// TestListsOfEntries: an agent dials what any linked entry lists, also if another has not heard of it yet.
+// TestListsOfEntries checks that an agent dials each entry that any linked entry lists, even if another linked entry does not list it yet.
 func TestListsOfEntries(t *testing.T) {
 	first := listen(t, 1, "0")
 	_, port, err := net.SplitHostPort(first.ln.Addr().String())
--- a/internal/agent/node/cordons.go
+++ b/internal/agent/node/cordons.go
@@ -8,11 +8,11 @@
 	"hillreel/internal/core/ident"
 )
 
-// SetCordons tells the node which zones a source in the store says are cordoned.
+// SetCordons passes the node a snapshot of the cordoned zones that one source in the store lists.
 func (n *Node) SetCordons(s cordon.Snapshot) { n.loop.Post(cordonsRead{s}) }
 
-// adoptCordons takes in what the store or an entry has told of cordons. News are passed on to all entries, since the store may turn
-// some of them away.
+// adoptCordons adopts a snapshot from the store or from an entry if it is newer than the known one. It passes it to all entries, because
+// the store may refuse the calls of some of them.
 func (n *Node) adoptCordons(s cordon.Snapshot, source string) {
 	if !n.cordons.Adopt(s) {
 		return
@@ -21,12 +21,12 @@
 	n.log.WithFields(logrus.Fields{
 		"of": s.Source, "version": s.Version, "zones": s.Zones, "source": source, "zone": state,
 	}).Info("cordons_adopted")
-	n.manager.SetZone(state)
+	n.controller.SetZone(state)
 	n.links.TellCordons(n.cordons.Snapshots())
 }
 
-// zoneState is what is known of the VM's own zone. What one source says is enough to start nothing, and takes all sources to say
-// that it is open.
+// zoneState returns the state of the VM's own zone. The zone is cordoned if any source cordons it. It is open only if the snapshots of
+// all sources are known and none cordons it.
 func (n *Node) zoneState() upstream.ZoneState {
 	switch {
 	case n.cordons.Cordoned(ident.Zone(n.set.Node.Zone)):
--- a/internal/agent/node/crashes.go
+++ b/internal/agent/node/crashes.go
@@ -14,25 +14,25 @@
 	"hillreel/internal/link/codec"
 )
 
-// Lost tells all entries of the tasks that the upstream was lost under.
+// UpstreamLost reports to all entries the tasks that were running at the upstream when it was lost.
 func (s *sender) UpstreamLost(l upstream.Loss) {
 	n := (*Node)(s)
 	n.broadcastCrashes(nil, n.addCrashes(boottime.Now(), l.Crashes(n.vm())), nil)
 }
 
-// vm is the name of the agent's VM.
+// vm returns the name of the agent's VM.
 func (n *Node) vm() ident.UpstreamName { return ident.UpstreamName(n.set.Node.Name) }
 
-// addCrashes takes in crashes, notes which of this VM are to be remembered, and returns what is news.
+// addCrashes adds crashes, updates localCrashes if there are new ones of this VM, and returns the new ones.
 func (n *Node) addCrashes(now time.Time, all []fleet.Crash) []fleet.Crash {
-	news := n.crashes.AddAll(now, all)
-	if slices.ContainsFunc(news, func(c fleet.Crash) bool { return n.crashes.HasCrashOn(c.Task, n.vm()) }) {
+	added := n.crashes.AddAll(now, all)
+	if slices.ContainsFunc(added, func(c fleet.Crash) bool { return n.crashes.HasCrashOn(c.Task, n.vm()) }) {
 		n.localCrashes = n.crashes.CrashesOn(now, n.vm())
 	}
-	return news
+	return added
 }
 
-// Refuted tells all entries that a life has answered which was taken for lost.
+// LossRefuted reports to all entries that a life of the upstream that was taken for lost has answered.
 func (s *sender) LossRefuted(r fleet.Refutation) {
 	n := (*Node)(s)
 	n.log.WithField("upstream", r.Life).Info("loss_refuted")
@@ -40,34 +40,35 @@
 	n.broadcastCrashes(nil, nil, []fleet.Refutation{r})
 }
 
-// recallCrashes takes in and tells what an earlier life has remembered of crashes: where all processes have ended, nobody else knows.
+// recallCrashes adds the crashes that an earlier process of this agent has saved, and reports the new ones to all entries. If all processes
+// have stopped since, no other process knows of them.
 func (n *Node) recallCrashes(now time.Time, all []fleet.Crash) {
-	lately := slices.DeleteFunc(slices.Clone(all), func(c fleet.Crash) bool { return time.Since(time.UnixMilli(int64(c.Loss))) > crash.Retention })
-	n.broadcastCrashes(nil, n.addCrashes(now, lately), nil)
+	recent := slices.DeleteFunc(slices.Clone(all), func(c fleet.Crash) bool { return time.Since(time.UnixMilli(int64(c.Loss))) > crash.Retention })
+	n.broadcastCrashes(nil, n.addCrashes(now, recent), nil)
 }
 
-// adoptCrashes takes in what an entry has told of crashes, and passes on to the others what is news and concerns tasks that more than one
-// upstream was lost under.
+// mergeCrashes adds the crashes and refutations that an entry has reported. It passes the new ones to the other entries if they concern tasks
+// that were running at more than one lost upstream.
 func (n *Node) mergeCrashes(now time.Time, from *link, crashes []fleet.Crash, refuted []fleet.Refutation) {
-	news := n.addCrashes(now, crashes)
-	var spread []fleet.Refutation
+	added := n.addCrashes(now, crashes)
+	var repeated []fleet.Refutation
 	for _, r := range refuted {
 		repeats := n.crashes.IsRepeatLoss(r.Life)
 		if n.crashes.Refute(r) && repeats {
-			spread = append(spread, r)
+			repeated = append(repeated, r)
 		}
 	}
-	n.broadcastCrashes(from, n.crashes.SelectRepeated(news), spread)
+	n.broadcastCrashes(from, n.crashes.SelectRepeated(added), repeated)
 }
 
-// tellCrashes tells all entries but one of crashes.
-func (n *Node) broadcastCrashes(but *link, crashes []fleet.Crash, refuted []fleet.Refutation) {
+// broadcastCrashes sends crashes and refutations to all entries except one. It sends to all if except is nil.
+func (n *Node) broadcastCrashes(except *link, crashes []fleet.Crash, refuted []fleet.Refutation) {
 	if len(crashes)+len(refuted) > 0 {
-		n.links.Broadcast(codec.Crashes(crashes, refuted), but)
+		n.links.Broadcast(codec.Crashes(crashes, refuted), except)
 	}
 }
 
-// greetCrashes tells an entry that has linked of all crashes that are remembered: it may have begun since, or have been out of reach.
+// sendAllCrashes sends all known crashes to an entry that has just linked: it may have started since, or have been unreachable.
 func (n *Node) sendAllCrashes(now time.Time, l *link) {
 	all := n.crashes.All(now)
 	if len(all) == 0 {
--- a/internal/agent/node/life_test.go
+++ b/internal/agent/node/life_test.go
@@ -21,7 +21,7 @@
 	"hillreel/internal/link/session"
 )
 
-// oneLife is an upstream that answers for one life at a time.
+// oneLifeUpstream is an upstream that answers calls for one life at a time.
 type oneLifeUpstream struct {
 	mu   sync.Mutex
 	life ident.UpstreamLife
@@ -45,18 +45,18 @@
 	return call.HoldResult{Answer: call.OK, Clock: call.Clock(time.Hour), Born: u.life.Born}, nil
 }
 
-// begin lets the next life begin.
+// begin starts the next life.
 func (u *oneLifeUpstream) begin(life ident.UpstreamLife) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.life = life
 }
 
-// notebook keeps what an agent remembers.
+// recordingMemory is a memory that records the last save.
 type recordingMemory struct {
 	mu   sync.Mutex
 	last ident.UpstreamLife
-	// total is the room that was remembered last.
+	// total is the room that was saved last.
 	total job.Resources
 }
 
@@ -71,21 +71,22 @@
 	return nil
 }
 
-// totalIs tells whether a room was remembered last.
+// totalIs reports whether r is the room that was saved last.
 func (m *recordingMemory) totalIs(r job.Resources) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.total == r
 }
 
+// lastIs reports whether id is the life that was saved last.
 func (m *recordingMemory) lastIs(id ident.UpstreamLife) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.last == id
 }
 
-// TestNextLifeIsRemembered: a life of the upstream is remembered once it is taken up, without waiting for another heartbeat:
-// an agent that was started anew meanwhile would recall the life before, and wait for one as well.
+// TestNextLifeIsRemembered checks that a life of the upstream is saved as soon as the agent adopts it, without waiting for another
+// heartbeat. Otherwise an agent that restarts in between would load the former life and have to wait for a heartbeat, too.
 func TestNextLifeIsRemembered(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
@@ -97,13 +98,13 @@
 		u.begin(life)
 		n.HandleHeartbeat(lives.Heartbeat{Upstream: fleet.Upstream{ID: life.ID, Service: "s"}, Born: life.Born, Sequence: 1, Clock: call.Clock(time.Minute)})
 		for until := time.Now().Add(5 * time.Second); !m.lastIs(life); time.Sleep(time.Millisecond) {
-			qt.Assert(t, time.Now().Before(until), qt.IsTrue, qt.Commentf("%s is not remembered", life))
+			qt.Assert(t, time.Now().Before(until), qt.IsTrue, qt.Commentf("%s was not saved", life))
 		}
 	}
 }
 
-// TestRoomIsRemembered: an agent that is started anew takes its upstream for what was remembered of it until a heartbeat comes. If that has
-// shrunk meanwhile and the former room is remembered still, the new agent starts runs beyond it.
+// TestRoomIsRemembered checks that changes of the upstream's room are saved. An agent that restarts relies on the saved room until a
+// heartbeat arrives. If the room has shrunk but the larger room is still saved, the agent starts more runs than there is room for.
 func TestRoomIsRemembered(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
@@ -116,12 +117,12 @@
 		total := job.Resources{CPU: cpu, Mem: 64}
 		n.HandleHeartbeat(lives.Heartbeat{Upstream: fleet.Upstream{ID: "u-1", Service: "s", Total: total}, Sequence: uint64(i + 1), Clock: call.Clock(time.Minute)})
 		for until := time.Now().Add(5 * time.Second); !m.totalIs(total); time.Sleep(time.Millisecond) {
-			qt.Assert(t, time.Now().Before(until), qt.IsTrue, qt.Commentf("%v is not remembered", total))
+			qt.Assert(t, time.Now().Before(until), qt.IsTrue, qt.Commentf("%v was not saved", total))
 		}
 	}
 }
 
-// TestTicksAreMeasured: how late the control goroutine's ticks are stands in the metrics, beside what is promised.
+// TestTicksAreMeasured checks that the metrics show how late the control goroutine's ticks are, beside the promised bound.
 func TestTicksAreMeasured(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/agent/node/links.go
+++ b/internal/agent/node/links.go
@@ -21,13 +21,13 @@
 	"hillreel/internal/link/wire"
 )
 
-// roleAgent stands in an agent's hello.
+// roleAgent is the role that an agent's hello names.
 const roleAgent = "agent"
 
-// source is who told of an entry.
+// source names where a list of entries comes from.
 type source string
 
-// The sources, besides entries over their links: the settings and the platform's store.
+// The sources are the settings and the platform's store. Lists that linked entries send are kept apart, in listedByEntries.
 const (
 	seeds source = "seeds"
 	store source = "store"
@@ -36,22 +36,22 @@
 // link is the session with one entry.
 type link = links.Link[linkState]
 
-// keepAlive is what an entry's keep-alives have said.
+// linkState holds the agent's own state of a link.
 type linkState struct {
-	// follows: the entry reads the store's tables that agents need.
+	// follows is true if the entry's last keep-alive said that it has current copies of the store's tables that agents need.
 	follows bool
 }
 
-// dialled is an entry's address that is being dialled or linked.
+// dialTarget is an entry's address that is being dialled or is linked.
 type dialTarget struct {
 	cancel context.CancelFunc
-	// last is the entry that was linked last by this address; zero is none.
+	// lastEntry is the entry that was last linked at this address, or zero.
 	lastEntry ident.Incarnation
-	// failing is true while the entry can't be reached.
+	// failing is true while the address can't be reached.
 	failing bool
 }
 
-// seedLinks are the seeds' addresses for links: all entries of a region use the same port.
+// seedLinks returns the seeds with their addresses for links. All entries of a region listen for links on the same port.
 func (n *Node) seedLinks(from []string) []fleet.Entry {
 	_, port, err := net.SplitHostPort(string(n.set.Node.Link))
 	if err != nil {
@@ -66,36 +66,37 @@
 	return out
 }
 
-// SetSeeds replaces the seeds.
+// SetSeeds replaces the addresses of the seeds.
 func (n *Node) SetSeeds(from []string) { n.loop.Post(entriesListed{seeds, n.seedLinks(from)}) }
 
-// SetEntries tells the node which entries the store lists.
+// SetEntries replaces the list of entries from the store.
 func (n *Node) SetEntries(all []fleet.Entry) { n.loop.Post(entriesListed{store, all}) }
 
-// handleListed takes in which entries the settings or the store list.
+// handleListed stores the entries that the settings or the store list, and chooses entries anew.
 func (n *Node) handleListed(by source, entries []fleet.Entry) {
 	n.listed[by] = entries
 	n.chooseEntries()
 }
 
-// handleTold takes in which entries a linked one lists. What others have told counts while they are linked, or until somebody else tells.
+// handlePeers stores the entries that a linked entry lists, and chooses entries anew. The list of an entry that is no longer linked is kept
+// until the next list from another entry arrives.
 func (n *Node) handlePeers(by ident.Incarnation, entries []fleet.Entry) {
 	n.listedByEntries[by] = entries
 	maps.DeleteFunc(n.listedByEntries, func(other ident.Incarnation, _ []fleet.Entry) bool { return n.links.Get(other) == nil })
 	n.chooseEntries()
 }
 
-// allListed is what all sources list; an entry may come several times.
+// allListed returns the entries that all sources and all entries list. An entry may occur several times.
 func (n *Node) allListed() []fleet.Entry {
 	all := slices.Concat(slices.Collect(maps.Values(n.listed))...)
 	return append(all, slices.Concat(slices.Collect(maps.Values(n.listedByEntries))...)...)
 }
 
-// chooseEntries dials entries that are newly chosen, and gives up those that are not listed any more, or that others have
-// taken the place of.
+// chooseEntries chooses the entries to link to. It dials those that are newly chosen. It stops dialling those that are no longer listed
+// or no longer chosen, except for entries that are listed and still have runs here.
 func (n *Node) chooseEntries() {
 	candidates := make(map[string]peers.Candidate)
-	up, _ := n.manager.Snapshot()
+	up, _ := n.controller.Snapshot()
 	for _, e := range n.allListed() {
 		l := string(e.Address)
 		d := n.dialled[l]
@@ -112,27 +113,28 @@
 	}
 	for l, d := range n.dialled {
 		_, listed := candidates[l]
-		if listed && (chosen[l] || n.manager.HasRunsOf(d.lastEntry)) {
+		if listed && (chosen[l] || n.controller.HasRunsOf(d.lastEntry)) {
 			continue
 		}
 		d.cancel()
 		delete(n.dialled, l)
 		if link := n.links.Get(d.lastEntry); listed && link != nil {
-			// It is linked and has nothing here. One that nobody lists any more may still have, and keeps its link.
+			// The entry has no runs here. A link to an entry that is no longer listed stays open, because that entry may still have runs.
 			link.Session.Close()
 		}
 	}
 }
 
-// quickDials is how long a lost entry is dialled at the shorter pause; one that restarts is back within it.
+// quickRedialPeriod is how long a lost entry is dialled at the shorter pause. An entry that restarts is back within this period.
 const quickRedialPeriod = 5 * time.Second
 
-// slowDown is by how much the pause is longer afterwards.
+// slowRedialFactor is the factor by which the pause between dials is longer after quickRedialPeriod.
 const slowRedialFactor = 5
 
-// keepLink dials an entry again and again until ctx ends. A link that stands when ctx ends is kept.
+// keepLink dials an entry repeatedly until ctx ends, and serves each link. A link that is open when ctx ends stays open.
 func (n *Node) keepLink(ctx context.Context, address string) {
-	since, greet := time.Now(), n.set.Links.LinkTimeout()
+	// lostAt is when the link was last lost, or when dialling began.
+	lostAt, greet := time.Now(), n.set.Links.LinkTimeout()
 	for ctx.Err() == nil {
 		began := time.Now()
 		s, err := session.Dial(n.dial, address, session.Limits{Dial: n.set.Links.DialTimeout, Greet: greet}, n.hello())
@@ -140,16 +142,16 @@
 		if err != nil {
 			n.loop.Post(dialFailed{address, errors.Is(err, syscall.ECONNREFUSED)})
 		} else if ctx.Err() != nil {
-			s.Close() // the entry was given up meanwhile
+			s.Close() // ctx ended during the dial
 		} else {
 			n.serve(s, address)
 		}
 		pause := n.set.Links.RedialEvery
 		if err == nil && time.Since(began) > pause {
-			since = time.Now()
-			continue // a link that was reset is back sooner than its runs are given up
+			lostAt = time.Now()
+			continue // redial at once, so that a link that was reset is back before its runs are given up
 		}
-		if time.Since(since) > quickRedialPeriod {
+		if time.Since(lostAt) > quickRedialPeriod {
 			pause *= slowRedialFactor
 		}
 		select {
@@ -159,8 +161,9 @@
 	}
 }
 
-// greeting returns how long the next greeting is waited for. A connection may have fallen silent during the last one; but after
-// several that came to nothing the entry stands still, and finds each of them when it wakes.
+// nextGreetTimeout returns the timeout of the next greeting, from the timeout and the error of the last one. One timeout may come from a
+// connection that fell silent. After several timeouts, the entry's process is probably paused, and each of the connections will be waiting
+// when it resumes; therefore the timeout doubles.
 func (n *Node) nextGreetTimeout(last time.Duration, err error) time.Duration {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n.set.Links.LinkTimeout()
@@ -168,14 +171,14 @@
 	return min(2*last, session.LongestGreeting)
 }
 
-// hello is this process's first message on each link.
+// hello returns the first message that this agent sends on a link.
 func (n *Node) hello() *wire.Hello {
 	return &wire.Hello{
 		Role: roleAgent, Session: n.dialCount.Add(1), Name: n.set.Node.Name, Incarnation: uint64(n.inc), Zone: n.set.Node.Zone, Region: n.set.Node.Region,
 	}
 }
 
-// serve runs one link until it ends.
+// serve receives the entry's messages until the link ends.
 func (n *Node) serve(s *session.Session, address string) {
 	if !n.loop.Post(linkUp{s, address}) {
 		s.Close()
@@ -185,11 +188,11 @@
 	n.loop.Post(linkDown{s, err})
 }
 
-// handleLinkUp takes up a new link with the entry at an address.
+// handleLinkUp adds a new link with the entry at an address, or closes it if the entry is already linked.
 func (n *Node) handleLinkUp(now time.Time, s *session.Session, address string) {
 	if old := n.links.Get(ident.Incarnation(s.Remote.GetIncarnation())); old != nil {
-		// The entry goes by two addresses. The older link is kept: with the newer one, the two would go on replacing
-		// each other.
+		// The entry has two addresses. The older link is kept, because otherwise the links of the two addresses would
+		// replace each other forever.
 		if d := n.dialled[address]; d != nil {
 			d.lastEntry, d.failing = old.Peer, false
 		}
@@ -200,30 +203,30 @@
 	n.observer.Linked(l.Peer, l.Name(), n.hasLinkOrRuns)
 	if d := n.dialled[address]; d != nil {
 		if d.lastEntry != l.Peer {
-			n.manager.EntryGone(now, d.lastEntry, "restarted")
+			n.controller.EntryGone(now, d.lastEntry, "restarted")
 		}
 		d.lastEntry, d.failing = l.Peer, false
 	}
 	n.sendAllCrashes(now, l)
-	n.manager.EntryLinked(now, l.Peer)
+	n.controller.EntryLinked(now, l.Peer)
 	n.relayConfig(now, l)
 	l.TellCordons(n.cordons.Snapshots())
 }
 
-// needsName tells whether an entry is linked or has runs here.
+// hasLinkOrRuns reports whether an entry is linked or has runs here.
 func (n *Node) hasLinkOrRuns(entry ident.Incarnation) bool {
-	return n.links.Get(entry) != nil || n.manager.HasRunsOf(entry)
+	return n.links.Get(entry) != nil || n.controller.HasRunsOf(entry)
 }
 
-// handleDialFailed handles an address that can't be reached. When it refuses, nobody listens there any more: the entry
-// that was there has ended.
+// handleDialFailed handles an address that can't be reached. If the connection was refused, no process listens there: the entry that was
+// there has ended.
 func (n *Node) handleDialFailed(now time.Time, address string, refused bool) {
 	d := n.dialled[address]
 	if d == nil {
 		return
 	}
 	if refused && d.lastEntry != 0 {
-		n.manager.EntryGone(now, d.lastEntry, "refused")
+		n.controller.EntryGone(now, d.lastEntry, "refused")
 		d.lastEntry = 0
 	}
 	if !d.failing {
@@ -232,51 +235,51 @@
 	}
 }
 
-// handleLinkDown handles the end of a link's session: its entry is out of hearing.
+// handleLinkDown handles the end of a link's session: its entry can't be reached until a new link is up.
 func (n *Node) handleLinkDown(now time.Time, s *session.Session, err error) {
 	if l := n.links.Ended(s, err); l != nil {
-		n.manager.EntryUnlinked(now, l.Peer, "link_down")
+		n.controller.EntryUnlinked(now, l.Peer, "link_down")
 	}
 }
 
-// handleMessage handles one message of the entry.
+// handleMessage handles one message from an entry.
 func (n *Node) handleMessage(now time.Time, l *link, m *wire.Msg) {
 	switch m := m.GetKind().(type) {
 	case *wire.Msg_Start:
 		o, err := codec.ReadOrder(m.Start)
 		if err != nil {
-			// The orders behind it would be taken for it by their numbers.
+			// Agents acknowledge orders by sequence number. By handling a later order, the agent would also acknowledge this one.
 			n.log.WithFields(logrus.Fields{"entry": l.Name(), "error": err.Error()}).Error("order_unreadable")
 			l.Session.Close()
 			return
 		}
-		n.manager.Order(now, l.Peer, o)
+		n.controller.Order(now, l.Peer, o)
 	case *wire.Msg_Stop:
 		r, why := codec.ReadStop(m.Stop)
-		n.manager.StopTask(now, l.Peer, r, why)
+		n.controller.StopTask(now, l.Peer, r, why)
 	case *wire.Msg_Ping:
 		k := codec.ReadPing(m.Ping)
-		n.manager.Ping(now, l.Peer, k.Echo, k.Pace)
+		n.controller.Ping(now, l.Peer, k.Echo, k.Pace)
 		l.Own.follows = k.Follows
 		l.Config = max(l.Config, k.Config)
 		n.relayConfig(now, l)
 	case *wire.Msg_Noted:
-		n.manager.ResolveEnds(codec.ReadNoted(m.Noted))
+		n.controller.ResolveEnds(codec.ReadNoted(m.Noted))
 	case *wire.Msg_Ask:
 		number, jobs := codec.ReadAsk(m.Ask)
-		n.manager.QueryEnds(now, l.Peer, number, jobs)
+		n.controller.QueryEnds(now, l.Peer, number, jobs)
 	case *wire.Msg_Holding:
 		_, jobs := codec.ReadHolding(m.Holding)
-		n.manager.Holding(now, l.Peer, jobs)
+		n.controller.Holding(now, l.Peer, jobs)
 	case *wire.Msg_Release:
-		n.manager.Release(now, codec.ReadRelease(m.Release, l.Peer))
+		n.controller.Release(now, codec.ReadRelease(m.Release, l.Peer))
 	case *wire.Msg_Released:
-		n.manager.Released(codec.ReadReleased(m.Released))
+		n.controller.Released(codec.ReadReleased(m.Released))
 	case *wire.Msg_Config:
 		n.handleConfig(now, l, m.Config)
 	case *wire.Msg_Cordons:
 		n.adoptCordons(l.HeardCordons(m.Cordons), "link")
-		l.TellCordons(n.cordons.Snapshots()) // what it told may be out of date
+		l.TellCordons(n.cordons.Snapshots()) // the entry's snapshot may be out of date
 	case *wire.Msg_Crashes:
 		crashes, refuted := codec.ReadCrashes(m.Crashes)
 		n.mergeCrashes(now, l, crashes, refuted)
@@ -287,32 +290,32 @@
 	}
 }
 
-// sender sends the keeper's words to entries.
+// sender sends the controller's messages to entries.
 type sender Node
 
-// Upstream describes the upstream.
+// Upstream sends the description of the upstream.
 func (s *sender) Upstream(to ident.Incarnation, u fleet.Upstream) {
 	s.links.Send(to, codec.Upstream(u))
 }
 
-// Room tells what room there is.
+// Room sends the room that the upstream has.
 func (s *sender) Room(to ident.Incarnation, r fleet.Room) { s.links.Send(to, codec.Room(r)) }
 
-// End tells how a run ended.
+// End reports how a run ended.
 func (s *sender) End(to ident.Incarnation, e fleet.End) { s.links.Send(to, codec.End(e)) }
 
-// Resumed tells which runs of an earlier session go on.
+// Resumed reports which runs of an earlier session continue.
 func (s *sender) Resumed(to ident.Incarnation, runs []fleet.OrderedRun) {
 	s.links.Send(to, codec.Resumed(runs))
 }
 
-// Progress tells how runs get on while the upstream is slow.
+// Progress reports the progress of runs while the upstream is slow.
 func (s *sender) Progress(to ident.Incarnation, runs []fleet.Progress) {
 	s.links.Send(to, codec.Progress(runs))
 }
 
-// Asked tells that all ends that a question is about have been told.
+// Asked reports that all ends that the query with this number asked for have been sent.
 func (s *sender) EndsSent(to ident.Incarnation, number uint64) { s.links.Send(to, codec.Asked(number)) }
 
-// Settled tells that nothing of earlier sessions remains.
+// Settled reports that no run of an earlier session remains.
 func (s *sender) Settled(to ident.Incarnation) { s.links.Send(to, codec.Settled()) }
--- a/internal/agent/node/links_test.go
+++ b/internal/agent/node/links_test.go
@@ -15,7 +15,7 @@
 	"hillreel/internal/link/session"
 )
 
-// nothing remembers no upstream.
+// emptyMemory is a memory that never has a snapshot.
 type emptyMemory struct{}
 
 func (emptyMemory) Load(context.Context) (lives.Snapshot, bool, error) {
@@ -23,8 +23,8 @@
 }
 func (emptyMemory) Save(context.Context, lives.Snapshot) error { return nil }
 
-// TestSilentGreeting: a connection that falls silent before the entry's greeting is given up as soon as a silent link; the
-// more greetings come to nothing one after the other, the longer each is waited for.
+// TestSilentGreeting guards against waiting too long for an entry whose connection falls silent before its greeting: the agent gives the
+// connection up as soon as a silent link. With each greeting in a row that times out, the timeout doubles.
 func TestSilentGreeting(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/agent/node/memory.go
+++ b/internal/agent/node/memory.go
@@ -10,16 +10,19 @@
 	"hillreel/internal/core/job"
 )
 
-// Memory keeps what this agent's next life should know.
+// Memory stores what the agent must know when its process starts again.
 type Memory interface {
+	// Load returns the saved snapshot. It returns false if there is none.
 	Load(ctx context.Context) (lives.Snapshot, bool, error)
+	// Save replaces the saved snapshot.
 	Save(ctx context.Context, u lives.Snapshot) error
 }
 
-// recallPause is the pause between two attempts to read or write the memory.
+// memoryRetryPause is the pause between two attempts to read or write the memory.
 const memoryRetryPause = 300 * time.Millisecond
 
-// recall reads what an earlier life has remembered, until a heartbeat makes that needless.
+// recall loads the snapshot that an earlier process of this agent has saved. It retries until it succeeds, or until the agent is ready
+// because of a heartbeat and no longer needs the snapshot.
 func (n *Node) recall() {
 	for n.ctx.Err() == nil {
 		u, found, err := n.memory.Load(n.ctx)
@@ -37,22 +40,24 @@
 	}
 }
 
-// grownPause is how long a room that has grown waits to be remembered: to recall less costs a heartbeat's time of a part of the room, while
-// each write of agents whose rooms change all the time takes of what the store can carry for all.
+// growthDelay is the shortest time between a save and the next one that is due only because the room has grown. An agent that loads too
+// small a room leaves a part of it unused until the next heartbeat. Saving each growth would load the store, which all agents share, if
+// rooms change all the time.
 const growthDelay = 4 * time.Second
 
-// noted is what was remembered of an upstream, and when.
+// savedState is the part of a snapshot that decides whether a new one must be saved, and the time of the save.
 type savedState struct {
 	life     ident.UpstreamLife
 	draining bool
-	// total is its room: a next life of the agent that recalled more would start runs beyond it.
+	// total is the upstream's room. If it shrinks, it is saved at once: an agent that loaded too large a room after a restart would start
+	// more runs than there is room for.
 	total job.Resources
 	at    time.Time
-	// crash is the newest loss of an upstream that tasks ran at.
+	// crash is the number of the newest loss of an upstream that had running tasks.
 	crash fleet.LossNumber
 }
 
-// notedOf is what of a known upstream is remembered.
+// savedStateOf returns the savedState of a snapshot that is saved now.
 func savedStateOf(now time.Time, u *lives.Snapshot) savedState {
 	n := savedState{life: u.Life(), draining: u.Draining, total: u.Total, at: now}
 	for _, c := range u.Crashes {
@@ -61,14 +66,14 @@
 	return n
 }
 
-// outdated tells whether something else is to be remembered.
+// outdated reports whether next must be saved in place of n.
 func (n savedState) outdated(now time.Time, next savedState) bool {
 	shrunk := !n.total.Fits(next.total)
 	grown := n.total != next.total && now.Sub(n.at) >= growthDelay
 	return next.crash > n.crash || n.life != next.life || n.draining != next.draining || shrunk || grown
 }
 
-// remember lets what is new of the upstream be written, in place of what has not been yet.
+// queueSave queues a snapshot to be written. It replaces a snapshot that still waits.
 func (n *Node) queueSave(now time.Time, u lives.Snapshot) {
 	n.lastSaved = savedStateOf(now, &u)
 	select {
@@ -78,7 +83,7 @@
 	n.toSave <- u
 }
 
-// keepRemembering writes what is to be remembered, one thing at a time, until the node stops.
+// writeMemory writes queued snapshots to the memory, one at a time, until the node stops.
 func (n *Node) writeMemory() {
 	for {
 		select {
@@ -90,7 +95,7 @@
 	}
 }
 
-// write writes what is to be remembered, until it is written or something newer is.
+// writeWithRetries writes a snapshot. It retries until the snapshot, or a newer one that is queued meanwhile, is written.
 func (n *Node) writeWithRetries(u lives.Snapshot) {
 	for {
 		err := n.memory.Save(n.ctx, u)
--- a/internal/agent/node/node.go
+++ b/internal/agent/node/node.go
@@ -1,5 +1,5 @@
-// Package node is an agent's control part: it keeps the account of the upstream on one control goroutine, makes
-// the calls to the upstream, and holds links to all entries or, where there are many, to some of them.
+// Package node is the control part of an agent. One control goroutine owns the controller of the upstream and the links. The node makes the
+// calls to the upstream, and links to all entries or, if there are many, to some of them.
 package node
 
 import (
@@ -34,39 +34,40 @@
 	memory   Memory
 	inc      ident.Incarnation
 	loop     *loop.Loop
-	// dials counts the links that were dialled, so that entries can tell newer ones from older ones.
+	// dialCount counts the hellos sent. Each hello carries its number, so that entries can tell newer sessions from older ones.
 	dialCount atomic.Uint64
-	// following is how many entries are linked that read the store's tables that agents need.
+	// following is the number of linked entries that have current copies of the store's tables that agents need.
 	following atomic.Int32
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	// The control goroutine owns what follows.
-	manager  *upstream.Controller
-	observer *observer
-	// remembered is what was last given to the memory.
+	// Only the control goroutine uses the fields from here on, except that toSave is also read by writeMemory.
+	controller *upstream.Controller
+	observer   *observer
+	// lastSaved is the state that was last queued for the memory.
 	lastSaved savedState
-	// toRemember is what waits to be written there, at most one.
-	toSave   chan lives.Snapshot
-	patience timeout.Adaptive
-	links    *links.Set[linkState]
-	// dialled are the entries that are dialled or linked, by address; listed are those that each source listed last, told those that entries did.
-	dialled         map[string]*dialTarget
+	// toSave holds the snapshot that waits to be written to the memory, if there is one.
+	toSave      chan lives.Snapshot
+	callTimeout timeout.Adaptive
+	links       *links.Set[linkState]
+	// dialled holds the entries that are being dialled or are linked, by address.
+	dialled map[string]*dialTarget
+	// listed holds the entries that the settings and the store listed last, and listedByEntries those that linked entries listed last.
 	listed          map[source][]fleet.Entry
 	listedByEntries map[ident.Incarnation][]fleet.Entry
 	relay           relayedConfig
-	// cordons is what is known of the zones that operators have cordoned.
+	// cordons holds the zones that operators have cordoned, as far as this agent knows.
 	cordons *cordon.Set
-	// crashes is what is known of the tasks that upstreams were lost under.
+	// crashes tracks the tasks that were running at upstreams when they were lost.
 	crashes *crash.Tracker
-	// lostHere are those of this VM's upstreams, to be remembered.
+	// localCrashes holds the crashes of this VM's upstreams, which are saved in the memory.
 	localCrashes []fleet.Crash
 	pulse        links.Pulse
-	// holdsFail is true while holds get no answer.
+	// holdsFailing is true if the last hold got no answer.
 	holdsFailing bool
 }
 
-// New returns a Node that has not started.
+// New returns a Node that is not started. The node calls u, saves its state in m, and links to entries with dial.
 func New(set *settings.Settings, u Upstream, m Memory, dial session.Dialer, log *logrus.Entry) *Node {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
@@ -80,17 +81,17 @@
 		cordons:         cordon.NewSet(nil),
 		crashes:         crash.New(nil),
 		toSave:          make(chan lives.Snapshot, 1),
-		patience:        timeout.New(patienceFactor, minPatience, set.Agent.CallTimeout),
+		callTimeout:     timeout.New(callTimeoutFactor, minCallTimeout, set.Agent.CallTimeout),
 	}
 	n.observer = newObserver(set.Links.Timing(), log)
 	n.pulse.Every, n.pulse.Late = set.Links.Tick, n.observer.Ticked
 	n.pulse.Tick(boottime.Now())
-	n.manager = upstream.New(set.Links.Timing(), nil, boottime.Now(), (*caller)(n), (*sender)(n), n.observer)
-	n.manager.SetZone(upstream.ZoneUnknown)
+	n.controller = upstream.New(set.Links.Timing(), nil, boottime.Now(), (*caller)(n), (*sender)(n), n.observer)
+	n.controller.SetZone(upstream.ZoneUnknown)
 	return n
 }
 
-// Start starts the control goroutine and dials the seeds.
+// Start starts the control goroutine, dials the seeds, and loads the saved state from the memory.
 func (n *Node) Start(context.Context) error {
 	go n.loop.Run(n.set.Links.Tick, n.handle, n.tick)
 	n.SetSeeds(n.set.Node.Seeds)
@@ -99,33 +100,35 @@
 	return nil
 }
 
-// Stop ends at once.
+// Stop closes all links and stops the node at once, without draining.
 func (n *Node) Stop() {
 	n.cancel()
 	n.loop.Call(n.links.Close)
 	n.loop.Stop()
 }
 
-// Beat handles a heartbeat of the upstream.
+// HandleHeartbeat handles a heartbeat of the upstream.
 func (n *Node) HandleHeartbeat(b lives.Heartbeat) { n.loop.Post(b) }
 
-// Left handles the upstream's word that it has ended.
+// HandleUpstreamLeft handles the upstream's message that it has ended.
 func (n *Node) HandleUpstreamLeft(id ident.UpstreamID) { n.loop.Post(upstreamLeft{id}) }
 
-// Leave makes the agent take no more work.
-func (n *Node) Leave() { n.loop.Post(func() { n.manager.Leave(); n.manager.Flush(boottime.Now()) }) }
+// Leave makes the agent refuse new work.
+func (n *Node) Leave() {
+	n.loop.Post(func() { n.controller.Leave(); n.controller.Flush(boottime.Now()) })
+}
 
-// Runs returns how many runs are, or may be, at the upstream.
+// Runs returns the number of runs that are, or may be, at the upstream.
 func (n *Node) Runs() (count int) {
-	n.loop.Call(func() { count = n.manager.RunCount() })
+	n.loop.Call(func() { count = n.controller.RunCount() })
 	return count
 }
 
-// Ready tells whether the agent has an upstream and an entry.
+// Ready reports whether the agent knows its upstream and is linked to an entry, and why.
 func (n *Node) Ready() (ok bool, why string) {
 	ok, why = false, "stopped"
 	n.loop.Call(func() {
-		switch _, known := n.manager.Snapshot(); {
+		switch _, known := n.controller.Snapshot(); {
 		case !known:
 			why = "no heartbeat of the upstream yet"
 		case n.links.Len() == 0:
@@ -137,30 +140,34 @@
 	return ok, why
 }
 
-// The events that the control goroutine handles, beside lives.Beat.
+// The events that the control goroutine handles, besides lives.Heartbeat.
 type (
+	// upstreamLeft reports that the upstream has ended.
 	upstreamLeft struct{ id ident.UpstreamID }
 	recalled     struct{ known lives.Snapshot }
-	// orderDone carries the end of a start or a stop, and how long its answer took if there was one.
+	// orderDone carries the result of a start or stop call. took is how long the call lasted, and limit its timeout; answered tells
+	// whether there was an answer. end is a startDone or a stopDone.
 	orderDone struct {
 		took, limit time.Duration
 		answered    bool
 		end         any
 	}
+	// linkUp reports a new session with the entry at an address.
 	linkUp struct {
 		session *session.Session
 		address string
 	}
-	// dialFailed says that an entry's address can't be reached; refused is true when nobody listens there.
+	// dialFailed reports that an entry's address can't be reached. refused is true if no process listens there.
 	dialFailed struct {
 		address string
 		refused bool
 	}
+	// linkDown reports the end of a session.
 	linkDown struct {
 		session *session.Session
 		err     error
 	}
-	// received carries the messages of one frame.
+	// received carries the messages of one frame of a session.
 	received struct {
 		session *session.Session
 		msgs    []*wire.Msg
@@ -180,27 +187,28 @@
 		held call.HoldResult
 		err  error
 	}
-	// cordonsRead carries what the store says of cordons.
-	cordonsRead   struct{ snapshot cordon.Snapshot }
+	// cordonsRead carries the cordons that the store lists.
+	cordonsRead struct{ snapshot cordon.Snapshot }
+	// entriesListed carries the entries that a source lists.
 	entriesListed struct {
 		by      source
 		entries []fleet.Entry
 	}
 )
 
-// handle handles one event on the control goroutine.
+// handle handles one event. It runs on the control goroutine.
 func (n *Node) handle(e loop.Event) {
 	now := n.pulse.CatchUp(n.tick)
 	switch e := e.(type) {
 	case lives.Heartbeat:
-		n.manager.Heartbeat(now, e)
+		n.controller.Heartbeat(now, e)
 	case recalled:
 		n.log.WithField("upstream", e.known.Life()).Info("upstream_recalled")
 		n.recallCrashes(now, e.known.Crashes)
-		n.manager.Recall(now, e.known)
+		n.controller.Recall(now, e.known)
 	case upstreamLeft:
 		n.log.WithField("upstream", e.id).Info("upstream_left")
-		n.manager.UpstreamLeft(now, e.id)
+		n.controller.UpstreamLeft(now, e.id)
 	case linkUp:
 		n.handleLinkUp(now, e.session, e.address)
 	case dialFailed:
@@ -211,39 +219,39 @@
 		n.links.Receive(now, e.session, e.msgs, func(l *link, m *wire.Msg) { n.handleMessage(now, l, m) })
 	case orderDone:
 		if e.answered {
-			n.patience.Observe(e.took)
+			n.callTimeout.Observe(e.took)
 		} else {
-			n.patience.ObserveTimeout(e.limit)
+			n.callTimeout.ObserveTimeout(e.limit)
 		}
 		n.handleOrderDone(now, e.end)
 	case holdDone:
 		n.logHoldFailure(e.err)
-		n.manager.HoldDone(now, e.call, e.held)
+		n.controller.HoldDone(now, e.call, e.held)
 	case cordonsRead:
 		n.adoptCordons(e.snapshot, "store")
 	case entriesListed:
 		n.handleListed(e.by, e.entries)
 	}
 	n.saveLife(now)
-	n.manager.Flush(now)
+	n.controller.Flush(now)
 }
 
-// noteLife remembers a life of the upstream that was taken up, that leaves, or whose room has changed, and chooses the entries that want
-// its service.
+// saveLife queues the state of the upstream to be saved if a new life of the upstream has begun, the upstream is leaving, its room has
+// changed, or there is a new crash. When a new life has begun, it also chooses entries anew, since the life may have another service.
 func (n *Node) saveLife(now time.Time) {
-	u, known := n.manager.Snapshot()
+	u, known := n.controller.Snapshot()
 	u.Crashes = n.localCrashes
 	if !known || !n.lastSaved.outdated(now, savedStateOf(now, &u)) {
 		return
 	}
-	began := n.lastSaved.life != u.Life()
+	isNewLife := n.lastSaved.life != u.Life()
 	n.queueSave(now, u)
-	if began {
+	if isNewLife {
 		n.chooseEntries()
 	}
 }
 
-// countFollowing counts the entries that read the store.
+// countFollowing counts the linked entries that have current copies of the store's tables.
 func (n *Node) countFollowing() {
 	var count int32
 	for l := range n.links.All() {
@@ -253,18 +261,20 @@
 	}
 	n.following.Store(count)
 	if count >= MinFollowingEntries {
-		delete(n.listed, store) // it grows old while nobody reads it
+		delete(n.listed, store) // while the agent does not read the store, this list would become outdated
 	}
 }
 
-// Tellers is how many entries must tell what changes in the store, for the agent not to read it: with fewer, as in small regions, it reads as
-// well, so that what it knows does not depend on entries that the store may have turned away without their knowing it yet.
+// MinFollowingEntries is the number of linked entries that must follow the store so that the agent need not read it. With fewer entries, as
+// in small regions, the agent reads the store too. Otherwise its knowledge would depend on a few entries, and the store may have stopped
+// answering them before they notice.
 const MinFollowingEntries = 6
 
-// Following returns how many of the entries that are linked read the store's tables that agents need, and tell what changes there.
+// FollowingEntries returns the number of linked entries that have current copies of the store's tables that agents need, and pass on
+// the changes.
 func (n *Node) FollowingEntries() int { return int(n.following.Load()) }
 
-// noteHold logs the first of several holds without an answer: one that is refused says more of the upstream than one that is lost.
+// logHoldFailure logs the first of several failed holds in a row. The error tells a refused connection from a lost call.
 func (n *Node) logHoldFailure(err error) {
 	if err != nil && !n.holdsFailing {
 		n.log.WithField("error", err.Error()).Info("hold_unanswered")
@@ -272,24 +282,24 @@
 	n.holdsFailing = err != nil
 }
 
-// handleOrderDone hands the end of a start or a stop to the keeper.
+// handleOrderDone passes the result of a start or stop call to the controller.
 func (n *Node) handleOrderDone(now time.Time, end any) {
 	switch e := end.(type) {
 	case startDone:
-		n.manager.StartDone(now, e.call, e.answer, e.clock)
+		n.controller.StartDone(now, e.call, e.answer, e.clock)
 	case stopDone:
-		n.manager.StopDone(now, e.call, e.answer, e.clock)
+		n.controller.StopDone(now, e.call, e.answer, e.clock)
 	}
 }
 
-// tick does what time alone brings about.
+// tick does the periodic work: it handles timeouts of the upstream and of links.
 func (n *Node) tick() {
 	now := boottime.Now()
 	n.pulse.Tick(now)
-	n.manager.Tick(now)
+	n.controller.Tick(now)
 	for _, l := range n.links.DropSilent(now, n.pulse.Running, links.Limits{Quiet: n.set.Links.LinkTimeout(), Silence: n.set.Links.Silence}) {
-		n.manager.EntryUnlinked(now, l.Peer, "silent")
+		n.controller.EntryUnlinked(now, l.Peer, "silent")
 	}
 	n.countFollowing()
-	n.manager.Flush(now)
+	n.controller.Flush(now)
 }
--- a/internal/agent/node/observe.go
+++ b/internal/agent/node/observe.go
@@ -18,16 +18,15 @@
 	"hillreel/internal/core/metrics"
 )
 
-// observer logs and counts an agent's decisions. Runs that end well are only counted: their job's entry logs
-// the job.
+// observer logs and counts an agent's decisions. Runs that succeed are usually only counted, since the entry logs their job.
 type observer struct {
 	log      *logrus.Entry
 	counters *metrics.Counters
 	times    *metrics.Latencies
 	margins  *metrics.Margins
-	// stoppedWithin is how long the stop of an unwanted run may take.
+	// maxStopTime is the promised bound on the time that it takes to stop an unwanted run.
 	maxStopTime time.Duration
-	// names are those of the entries that are linked or have runs here.
+	// names holds the names of the entries that are linked or have runs here.
 	names map[ident.Incarnation]string
 }
 
@@ -38,13 +37,14 @@
 	}
 }
 
-// Linked notes an entry's name, and forgets those of entries that are not needed any more.
+// Linked stores an entry's name, and deletes the names that are not needed any more.
 func (o *observer) Linked(entry ident.Incarnation, name string, needed func(ident.Incarnation) bool) {
 	maps.DeleteFunc(o.names, func(e ident.Incarnation, _ string) bool { return !needed(e) })
 	o.names[entry] = name
 }
 
-// Ended notes the end of a run. One that ended well has a line only if it was to be stopped, or its entry does not hear of it.
+// RunEnded counts the end of a run and logs it. A run that succeeded is logged only if it was to be stopped, or if its entry does not learn
+// of the end.
 func (o *observer) RunEnded(e upstream.Ending) {
 	o.counters.Add("runs_"+string(e.Outcome), 1)
 	if e.Outcome == job.Done {
@@ -71,7 +71,7 @@
 	o.log.WithFields(f).Info("run_ended")
 }
 
-// noteStop compares how long the stop of a run took with what is promised.
+// recordStop compares the time that it took to stop an unwanted run with the promised bound.
 func (o *observer) recordStop(f logrus.Fields, s *upstream.Stop) {
 	if !s.Unwanted {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// addStop adds how a run was stopped to the line of its end. Its times are counted back from the line's.
+// addStopFields adds to the log line of a run's end how the run was stopped. Fields named *_ms_ago count back from the time of the line.
 func addStopFields(f logrus.Fields, s *upstream.Stop) {
 	f["stop_why"], f["stop_asked_ms_ago"], f["stop_answered"] = s.Cause, s.AskedAgo.Milliseconds(), s.IsAnswered
 	if s.IsAnswered {
@@ -94,13 +94,13 @@
 	}
 }
 
-// State logs a change of what entries are told of the upstream.
+// StateChanged logs a change of the upstream's state that entries are told.
 func (o *observer) StateChanged(from, to fleet.State, why string) {
 	o.counters.Add("state_"+string(to), 1)
 	o.log.WithFields(logrus.Fields{"from": from, "to": to, "why": why}).Info("upstream_state")
 }
 
-// Orphaned logs that the runs of a lost entry are stopped.
+// RunsOrphaned logs that the runs of a lost entry are stopped.
 func (o *observer) RunsOrphaned(owner ident.Incarnation, runs int, why string, late time.Duration) {
 	o.counters.Add("runs_orphaned", int64(runs))
 	o.margins.Record("orphaning", late, fleet.TimerMargin)
@@ -109,7 +109,7 @@
 	}).Warn("runs_orphaned")
 }
 
-// Unconfirmed logs the ends that a lost entry may not have heard of: it places their tasks again.
+// EndsUnconfirmed logs the ends of runs of which a lost entry may not have been told. The entry may place their tasks again.
 func (o *observer) EndsUnconfirmed(owner ident.Incarnation, ends []fleet.End) {
 	o.counters.Add("ends_unconfirmed", int64(len(ends)))
 	var names []string
@@ -121,29 +121,29 @@
 	}).Info("ends_unconfirmed")
 }
 
-// Lapsed notes that the lease of all runs has lapsed.
+// LeaseLapsed records that the lease of all runs has lapsed.
 func (o *observer) LeaseLapsed(late time.Duration) {
 	o.margins.Record("lapse", late, fleet.TimerMargin)
 }
 
-// Ticked notes by how much a tick of the control goroutine was late.
+// Ticked records by how much a tick of the control goroutine was late.
 func (o *observer) Ticked(late time.Duration) {
 	o.margins.Record("agent_tick", late, fleet.TimerMargin)
 }
 
-// Outlived logs a heartbeat of an earlier life that was held up on the way.
+// HeartbeatOutlived logs a delayed heartbeat of an earlier life of the upstream. by is the present life.
 func (o *observer) HeartbeatOutlived(life, by ident.UpstreamLife) {
 	o.counters.Add("late_heartbeats", 1)
 	o.log.WithFields(logrus.Fields{"upstream": life, "present": by}).Info("heartbeat_outlived")
 }
 
-// Begun logs a life of the upstream that is taken up.
+// LifeBegun logs that the agent adopts a life of the upstream. why names the source that reported the life.
 func (o *observer) LifeBegun(life ident.UpstreamLife, why string, described bool) {
 	o.counters.Add("lives", 1)
 	o.log.WithFields(logrus.Fields{"upstream": life, "why": why, "described": described}).Info("upstream_begun")
 }
 
-// Dropped logs a heartbeat that counts as overtaken.
+// HeartbeatDropped logs a heartbeat that is ignored because its sequence number is lower than that of the newest one.
 func (o *observer) HeartbeatDropped(b lives.Heartbeat, newest uint64) {
 	o.counters.Add("dropped_heartbeats", 1)
 	o.log.WithFields(logrus.Fields{
@@ -151,7 +151,7 @@
 	}).Info("heartbeat_dropped")
 }
 
-// Gated counts and logs an order that is refused because the zone is cordoned: its entry has not heard of that.
+// OrderGated counts and logs an order that is refused because the zone is cordoned. Its entry does not know of the cordon yet.
 func (o *observer) OrderGated(task job.TaskID, entry ident.Incarnation) {
 	o.counters.Add("orders_zone_cordoned", 1)
 	o.log.WithFields(logrus.Fields{
@@ -159,33 +159,34 @@
 	}).Info("order_refused")
 }
 
-// maxNamed bounds the runs that are named in one line.
+// maxListed bounds the runs that one log line lists.
 const maxListed = 12
 
-// Lost logs the loss of an upstream and the youngest of the runs that were there, each with its age when the upstream last answered.
+// UpstreamLost logs the loss of an upstream and the youngest of its runs, each with its age when the upstream last answered.
 func (o *observer) UpstreamLost(l upstream.Loss) {
 	o.counters.Add("upstreams_lost", 1)
-	lost := slices.Clone(l.Runs)
-	slices.SortStableFunc(lost, func(a, b upstream.LostRun) int { return cmp.Compare(a.Age, b.Age) })
+	byAge := slices.Clone(l.Runs)
+	slices.SortStableFunc(byAge, func(a, b upstream.LostRun) int { return cmp.Compare(a.Age, b.Age) })
 	var youngest []string
-	for _, a := range lost[:min(len(lost), maxListed)] {
-		youngest = append(youngest, fmt.Sprintf("%v/%d@%dms", a.Task, a.Run, a.Age.Milliseconds()))
+	for _, r := range byAge[:min(len(byAge), maxListed)] {
+		youngest = append(youngest, fmt.Sprintf("%v/%d@%dms", r.Task, r.Run, r.Age.Milliseconds()))
 	}
 	o.log.WithFields(logrus.Fields{
 		"upstream": l.Life, "why": l.Why, "silent_ms": l.SilentFor.Milliseconds(), "runs": len(l.Runs), "youngest": strings.Join(youngest, " "),
 	}).Warn("upstream_lost")
 }
 
-// Stray logs a run that nobody here has ordered: one of an earlier agent, or a start that came late.
+// StrayChanged logs a run at the upstream that this agent has not ordered. Such a run was ordered by an earlier process of the agent, or its
+// start call was delayed.
 func (o *observer) StrayChanged(r fleet.RunRef, event upstream.StrayEvent) {
 	o.counters.Add(string(event), 1)
 	o.log.WithFields(logrus.Fields{"job": r.Task.Job, "task": r.Task, "run": r.Run}).Info(string(event))
 }
 
-// Overtaken counts a listing that is passed over: there can be one with each answer.
+// ListingOvertaken counts a listing of runs that is ignored because it is outdated. It does not log, since each answer may have one.
 func (o *observer) ListingOvertaken() { o.counters.Add("listings_overtaken", 1) }
 
-// Unsure logs a start that got no answer.
+// StartUnsure logs a start call that got no answer.
 func (o *observer) StartUnsure(task job.TaskID, run job.Run) {
 	o.counters.Add("starts_unsure", 1)
 	o.log.WithFields(logrus.Fields{"job": task.Job, "task": task, "run": run}).Info("start_unsure")
--- a/internal/agent/node/observe_test.go
+++ b/internal/agent/node/observe_test.go
@@ -14,13 +14,13 @@
 	"hillreel/internal/core/logs"
 )
 
-// timing is the usual one; stops may take 708 ms by it.
+// timing has the default bounds, by which a stop may take 708 ms.
 var timing = fleet.Timing{
 	Silence: 400 * time.Millisecond, Lease: 400 * time.Millisecond, StopBudget: 200 * time.Millisecond, KeepAlive: 100 * time.Millisecond,
 }
 
-// TestEndedLine: the line of a run's end tells who had ordered it, why it was stopped and when, and who has ordered its task anew; a run that
-// ended well has one only if it was to be stopped, or if its entry does not hear of it.
+// TestEndedLine checks that the log line of a run's end names the entry that ordered it, why and when it was stopped, and the entry that
+// ordered its task anew. A run that succeeded has a line only if it was to be stopped, or if its entry does not learn of the end.
 func TestEndedLine(t *testing.T) {
 	end := func(o job.Outcome) fleet.End {
 		return fleet.End{Task: job.TaskID{Job: 7, Index: 2}, Run: 3, Outcome: o, Took: 80 * time.Millisecond}
@@ -72,7 +72,7 @@
 	}
 }
 
-// TestUnconfirmedLine: one line names the newest of the ends that an entry may not have heard of.
+// TestUnconfirmedLine checks that one line lists the newest ends of which an entry may not have been told.
 func TestUnconfirmedLine(t *testing.T) {
 	var out bytes.Buffer
 	log := logs.Discard()
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestEntryNamesAreForgotten: an agent keeps the names of the entries that it needs, however many come and go.
+// TestEntryNamesAreForgotten guards against a map of names that grows with each new entry: an agent keeps only the names that it needs.
 func TestEntryNamesAreForgotten(t *testing.T) {
 	o := newObserver(timing, logs.Discard())
 	for e := ident.Incarnation(1); e <= 100; e++ {
