--- a/internal/entry/node/config.go
+++ b/internal/entry/node/config.go
@@ -35,8 +35,8 @@
 // handleConfigured puts a configuration in force unless the one in force is as new. from is the agent that passed it on, or zero
 // for the store.
 func (n *Node) handleConfigured(t *route.Table, from ident.Incarnation) {
-	have := n.routes.Load()
-	if have != nil && t.Version <= have.Version {
+	current := n.routes.Load()
+	if current != nil && t.Version <= current.Version {
 		return
 	}
 	old := n.routes.Swap(t)
--- a/internal/entry/node/observe.go
+++ b/internal/entry/node/observe.go
@@ -109,7 +109,7 @@
 	o.log.WithFields(logrus.Fields{"silent_ms": silent.Milliseconds(), "jobs_given_up": jobs}).Warn("out_of_touch")
 }
 
-// Belated counts a request that arrived late and waits in case its connection ends.
+// Belated counts a request that is held back for a while, because its connection may be about to end.
 func (o *Observer) Belated(*dispatch.Request) { o.counters.Add("requests_belated", 1) }
 
 // TakeoverChanged logs and counts the steps by which a job is taken over by or from another entry.
--- a/internal/entry/node/observe_test.go
+++ b/internal/entry/node/observe_test.go
@@ -18,8 +18,8 @@
 	"hillreel/internal/entry/node"
 )
 
-// observed returns the log lines that an Observer writes while watch runs.
-func observed(watch func(o *node.Observer)) []string {
+// logLines returns the log lines that an Observer writes while watch runs.
+func logLines(watch func(o *node.Observer)) []string {
 	var out bytes.Buffer
 	log := logs.Discard()
 	log.Logger.SetOutput(&out)
@@ -27,13 +27,13 @@
 	return strings.Split(strings.TrimSpace(out.String()), "\n")
 }
 
-// taken reports to o that the entry has taken the job that the tests observe.
-func taken(o *node.Observer) {
+// takeJob reports to o that the entry has taken the job that the tests observe.
+func takeJob(o *node.Observer) {
 	o.Taken(&dispatch.Request{Job: 7, RequestID: "r-1", Spec: &job.Spec{Steps: []job.Step{{Count: 2}}}})
 }
 
-// place reports to o that runs with the given number were ordered for the job's tasks.
-func place(o *node.Observer, number job.Run, tasks int) {
+// placeTasks reports to o that runs with the given number were ordered for the job's tasks.
+func placeTasks(o *node.Observer, number job.Run, tasks int) {
 	order := &fleet.Order{Job: 7}
 	for i := range tasks {
 		order.Tasks = append(order.Tasks, fleet.TaskRun{Index: uint32(i), Run: number})
@@ -52,7 +52,7 @@
 		{"not told", time.Time{}, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			lines := observed(func(o *node.Observer) {
+			lines := logLines(func(o *node.Observer) {
 				o.Taken(&dispatch.Request{Job: 7, RequestID: "r-1", Deadline: test.deadline, Spec: &job.Spec{}})
 			})
 			qt.Assert(t, lines, qt.HasLen, 1)
@@ -81,13 +81,13 @@
 		{"cordoned", job.NotStarted, fleet.ZoneCordoned, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			lines := observed(func(o *node.Observer) {
-				taken(o)
-				place(o, 1, 2)
+			lines := logLines(func(o *node.Observer) {
+				takeJob(o)
+				placeTasks(o, 1, 2)
 				for i := range uint32(2) {
 					o.Ended("there", fleet.End{Task: job.TaskID{Job: 7, Index: i}, Run: 1, Outcome: test.outcome, Reason: test.reason}, "again")
 				}
-				place(o, 2, 2)
+				placeTasks(o, 2, 2)
 			})
 			if !test.line {
 				qt.Assert(t, lines, qt.HasLen, 1)
@@ -106,17 +106,17 @@
 // TestTaskPlacedAgainAfterRefusal checks which former run the line names when an agent refuses a task that is placed again: the last run
 // that may have started, not the refused one. A later run that ends in another way than by a refusal takes its place.
 func TestTaskPlacedAgainAfterRefusal(t *testing.T) {
-	lines := observed(func(o *node.Observer) {
-		taken(o)
+	lines := logLines(func(o *node.Observer) {
+		takeJob(o)
 		for i, outcome := range []job.Outcome{job.Lost, job.NotStarted, job.Stalled} {
-			place(o, job.Run(i+1), 1)
+			placeTasks(o, job.Run(i+1), 1)
 			e := fleet.End{Task: job.TaskID{Job: 7}, Run: job.Run(i + 1), Outcome: outcome}
 			if outcome == job.NotStarted {
 				e.Reason = fleet.NoRoom
 			}
 			o.Ended("there", e, "again")
 		}
-		place(o, 4, 1)
+		placeTasks(o, 4, 1)
 	})
 	qt.Assert(t, lines, qt.HasLen, 4)
 	for i, part := range []string{"0.0 run 2 after run 1 lost", "0.0 run 3 after run 1 lost", "0.0 run 4 after run 3 stalled"} {
@@ -144,7 +144,7 @@
 		{"many", dispatch.Stops{Job: 7, Cause: "deadline", Requested: runs(1000)}, []string{"runs=1000", "0.23 run 1 at here; 976 more"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			lines := observed(func(o *node.Observer) { o.StopsRequested(test.stops) })
+			lines := logLines(func(o *node.Observer) { o.StopsRequested(test.stops) })
 			qt.Assert(t, lines, qt.HasLen, 1)
 			for _, part := range test.has {
 				qt.Assert(t, lines[0], qt.Contains, part)
@@ -169,9 +169,9 @@
 		{"its caller came again", true, dispatch.Summary{}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			lines := observed(func(o *node.Observer) {
-				taken(o)
-				place(o, 1, 2)
+			lines := logLines(func(o *node.Observer) {
+				takeJob(o)
+				placeTasks(o, 1, 2)
 				if test.again {
 					o.Resubmitted(&dispatch.Request{Job: 7, RequestID: "r-2"}, dispatch.HeldJob{FormerRequestID: "r-1", Runs: 2, Callers: 1})
 				}
--- a/internal/entry/node/way.go
+++ b/internal/entry/node/way.go
@@ -67,8 +67,8 @@
 // summary returns the steps as one text for the log.
 func (h *jobHistory) summary() string { return strings.Join(h.steps, "; ") }
 
-// noteEnd records the end of a run whose task may be placed again. A run that may have started is replaced only by another run that
-// may have started.
+// noteEnd records the end of a run whose task may be placed again. If the task's recorded run may have started, only another run that may
+// have started replaces it.
 func (h *jobHistory) noteEnd(agent ident.UpstreamName, e fleet.End) {
 	if h.formerRuns == nil {
 		h.formerRuns = make(map[job.TaskID]formerRun)
