--- a/internal/entry/caller/read.go
+++ b/internal/entry/caller/read.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// defaultTarget and defaultStretch are the objective of a job that names none.
+	// The latency objective of a job that names none is defaultTarget plus defaultStretch times the job's longest chain of work.
 	defaultStretch = 2
 	defaultTarget  = 100 * time.Millisecond
 	// defaultAttempts is the number of attempts of a job that names none.
