--- a/internal/entry/operator/dryrun.go
+++ b/internal/entry/operator/dryrun.go
@@ -55,44 +55,44 @@
 	return out
 }
 
-// impacts lists, for each service, the linked upstreams that may serve it under only one of the two configurations.
+// impacts returns the effect of replacing one configuration by another on each service that has linked upstreams.
 func (s *Server) impacts(before, after *view.View) []ServiceImpact {
 	byService := make(map[ident.Service]*ServiceImpact)
 	var services []string
 	for _, u := range s.upstreams.Upstreams() {
-		m := byService[u.Service]
-		if m == nil {
-			m = &ServiceImpact{Service: u.Service}
-			byService[u.Service] = m
+		impact := byService[u.Service]
+		if impact == nil {
+			impact = &ServiceImpact{Service: u.Service}
+			byService[u.Service] = impact
 			services = append(services, string(u.Service))
 		}
-		m.count(u, before.Serves(u.Name, u.Zone, u.Service), after.Serves(u.Name, u.Zone, u.Service))
+		impact.count(u, before.Serves(u.Name, u.Zone, u.Service), after.Serves(u.Name, u.Zone, u.Service))
 	}
 	var out []ServiceImpact
 	for _, service := range sortNames(services) {
-		m := byService[ident.Service(service)]
-		m.Nowhere = m.Left == 0
-		sortNames(m.Gained)
-		sortNames(m.Lost)
-		out = append(out, *m)
+		impact := byService[ident.Service(service)]
+		impact.Nowhere = impact.Left == 0
+		sortNames(impact.Gained)
+		sortNames(impact.Lost)
+		out = append(out, *impact)
 	}
 	return out
 }
 
 // count adds one upstream. serves tells whether it serves the service now, and would whether it would serve it after the change.
-func (m *ServiceImpact) count(u dispatch.Upstream, serves, would bool) {
+func (i *ServiceImpact) count(u dispatch.Upstream, serves, would bool) {
 	switch {
 	case would && !serves:
-		m.Gained = append(m.Gained, string(u.Name))
+		i.Gained = append(i.Gained, string(u.Name))
 	case serves && !would:
-		m.Lost = append(m.Lost, string(u.Name))
+		i.Lost = append(i.Lost, string(u.Name))
 	}
 	if serves {
-		m.UsedCPU += u.TotalCPU - u.FreeCPU
+		i.UsedCPU += u.TotalCPU - u.FreeCPU
 	}
 	if would {
-		m.Left++
-		m.LeftCPU += u.TotalCPU
+		i.Left++
+		i.LeftCPU += u.TotalCPU
 	}
 }
 
