--- a/internal/entry/process/coverage.go
+++ b/internal/entry/process/coverage.go
@@ -37,8 +37,8 @@
 	shortLooks map[ident.Service]int
 }
 
-func newCoverage(n *node.Node, d *members.Directory, r *members.Registrar, most int) *coverage {
-	return &coverage{node: n, dir: d, register: r, maxLinks: most, shortLooks: make(map[ident.Service]int)}
+func newCoverage(n *node.Node, d *members.Directory, r *members.Registrar, maxLinks int) *coverage {
+	return &coverage{node: n, dir: d, register: r, maxLinks: maxLinks, shortLooks: make(map[ident.Service]int)}
 }
 
 // Start starts the periodic checks.
