--- a/internal/agent/node/calls.go
+++ b/internal/agent/node/calls.go
@@ -28,7 +28,8 @@
 // caller makes the controller's calls to the upstream, each on its own goroutine.
 type caller Node
 
-// callWithTimeout calls do with the present timeout, and posts orderDone with what done returns. event and fields are for the log if do fails.
+// callWithTimeout calls do with the present timeout on a new goroutine, and posts an orderDone with what done returns. If do fails, it logs
+// event with fields.
 func (c *caller) callWithTimeout(event string, fields logrus.Fields, do func(ctx context.Context) (call.Answer, call.Clock, error), done func(call.Answer, call.Clock) any) {
 	limit := c.callTimeout.Limit()
 	go func() {
--- a/internal/agent/node/links.go
+++ b/internal/agent/node/links.go
@@ -55,7 +55,7 @@
 func (n *Node) seedLinks(from []string) []fleet.Entry {
 	_, port, err := net.SplitHostPort(string(n.set.Node.Link))
 	if err != nil {
-		return nil // the settings were checked
+		return nil // can't happen: the address was checked when the settings were loaded
 	}
 	var out []fleet.Entry
 	for _, seed := range from {
@@ -86,7 +86,7 @@
 	n.chooseEntries()
 }
 
-// allListed returns the entries that all sources and all entries list. An entry may occur several times.
+// allListed returns the entries in listed and listedByEntries. An entry may occur several times.
 func (n *Node) allListed() []fleet.Entry {
 	all := slices.Concat(slices.Collect(maps.Values(n.listed))...)
 	return append(all, slices.Concat(slices.Collect(maps.Values(n.listedByEntries))...)...)
@@ -98,26 +98,26 @@
 	candidates := make(map[string]peers.Candidate)
 	up, _ := n.controller.Snapshot()
 	for _, e := range n.allListed() {
-		l := string(e.Address)
-		d := n.dialled[l]
-		wanted := candidates[l].Wanted || slices.Contains(e.Wants, up.Service)
-		candidates[l] = peers.Candidate{Address: l, Wanted: wanted, Failing: d != nil && d.failing}
+		address := string(e.Address)
+		d := n.dialled[address]
+		wanted := candidates[address].Wanted || slices.Contains(e.Wants, up.Service)
+		candidates[address] = peers.Candidate{Address: address, Wanted: wanted, Failing: d != nil && d.failing}
 	}
 	chosen := peers.Choose(n.set.Node.Name, n.set.Links.Entries, slices.Collect(maps.Values(candidates)))
-	for l := range chosen {
-		if n.dialled[l] == nil {
+	for address := range chosen {
+		if n.dialled[address] == nil {
 			ctx, cancel := context.WithCancel(n.ctx)
-			n.dialled[l] = &dialTarget{cancel: cancel}
-			go n.keepLink(ctx, l)
+			n.dialled[address] = &dialTarget{cancel: cancel}
+			go n.keepLink(ctx, address)
 		}
 	}
-	for l, d := range n.dialled {
-		_, listed := candidates[l]
-		if listed && (chosen[l] || n.controller.HasRunsOf(d.lastEntry)) {
+	for address, d := range n.dialled {
+		_, listed := candidates[address]
+		if listed && (chosen[address] || n.controller.HasRunsOf(d.lastEntry)) {
 			continue
 		}
 		d.cancel()
-		delete(n.dialled, l)
+		delete(n.dialled, address)
 		if link := n.links.Get(d.lastEntry); listed && link != nil {
 			// The entry has no runs here. A link to an entry that is no longer listed stays open, because that entry may still have runs.
 			link.Session.Close()
--- a/internal/agent/node/memory.go
+++ b/internal/agent/node/memory.go
@@ -59,18 +59,18 @@
 
 // savedStateOf returns the savedState of a snapshot that is saved now.
 func savedStateOf(now time.Time, u *lives.Snapshot) savedState {
-	n := savedState{life: u.Life(), draining: u.Draining, total: u.Total, at: now}
+	s := savedState{life: u.Life(), draining: u.Draining, total: u.Total, at: now}
 	for _, c := range u.Crashes {
-		n.crash = max(n.crash, c.Loss)
+		s.crash = max(s.crash, c.Loss)
 	}
-	return n
+	return s
 }
 
-// outdated reports whether next must be saved in place of n.
-func (n savedState) outdated(now time.Time, next savedState) bool {
-	shrunk := !n.total.Fits(next.total)
-	grown := n.total != next.total && now.Sub(n.at) >= growthDelay
-	return next.crash > n.crash || n.life != next.life || n.draining != next.draining || shrunk || grown
+// outdated reports whether next must be saved in place of s.
+func (s savedState) outdated(now time.Time, next savedState) bool {
+	shrunk := !s.total.Fits(next.total)
+	grown := s.total != next.total && now.Sub(s.at) >= growthDelay
+	return next.crash > s.crash || s.life != next.life || s.draining != next.draining || shrunk || grown
 }
 
 // queueSave queues a snapshot to be written. It replaces a snapshot that still waits.
--- a/internal/agent/node/node.go
+++ b/internal/agent/node/node.go
@@ -47,7 +47,8 @@
 	// lastSaved is the state that was last queued for the memory.
 	lastSaved savedState
 	// toSave holds the snapshot that waits to be written to the memory, if there is one.
-	toSave      chan lives.Snapshot
+	toSave chan lives.Snapshot
+	// callTimeout is the timeout of start and stop calls, which adapts to the time that they take.
 	callTimeout timeout.Adaptive
 	links       *links.Set[linkState]
 	// dialled holds the entries that are being dialled or are linked, by address.
@@ -55,7 +56,8 @@
 	// listed holds the entries that the settings and the store listed last, and listedByEntries those that linked entries listed last.
 	listed          map[source][]fleet.Entry
 	listedByEntries map[ident.Incarnation][]fleet.Entry
-	relay           relayedConfig
+	// relay is the configuration to pass on to entries.
+	relay relayedConfig
 	// cordons holds the zones that operators have cordoned, as far as this agent knows.
 	cordons *cordon.Set
 	// crashes tracks the tasks that were running at upstreams when they were lost.
@@ -63,7 +65,7 @@
 	// localCrashes holds the crashes of this VM's upstreams, which are saved in the memory.
 	localCrashes []fleet.Crash
 	pulse        links.Pulse
-	// holdsFailing is true if the last hold got no answer.
+	// holdsFailing is true if the last hold call got no answer.
 	holdsFailing bool
 }
 
@@ -144,7 +146,8 @@
 type (
 	// upstreamLeft reports that the upstream has ended.
 	upstreamLeft struct{ id ident.UpstreamID }
-	recalled     struct{ known lives.Snapshot }
+	// recalled carries the snapshot that an earlier process of this agent has saved.
+	recalled struct{ known lives.Snapshot }
 	// orderDone carries the result of a start or stop call. took is how long the call lasted, and limit its timeout; answered tells
 	// whether there was an answer. end is a startDone or a stopDone.
 	orderDone struct {
@@ -172,16 +175,19 @@
 		session *session.Session
 		msgs    []*wire.Msg
 	}
+	// startDone carries the result of a start call.
 	startDone struct {
 		call   call.Start
 		answer call.Answer
 		clock  call.Clock
 	}
+	// stopDone carries the result of a stop call.
 	stopDone struct {
 		call   call.Stop
 		answer call.Answer
 		clock  call.Clock
 	}
+	// holdDone carries the result of a hold call.
 	holdDone struct {
 		call call.Hold
 		held call.HoldResult
@@ -265,16 +271,17 @@
 	}
 }
 
-// MinFollowingEntries is the number of linked entries that must follow the store so that the agent need not read it. With fewer entries, as
-// in small regions, the agent reads the store too. Otherwise its knowledge would depend on a few entries, and the store may have stopped
-// answering them before they notice.
+// MinFollowingEntries is the number of linked entries that must have current copies of the store's tables so that the agent need not read
+// the store. With fewer entries, as in small regions, the agent reads the store too. Otherwise its knowledge would depend on a few entries,
+// and the store may have stopped answering them before they notice.
 const MinFollowingEntries = 6
 
 // FollowingEntries returns the number of linked entries that have current copies of the store's tables that agents need, and pass on
 // the changes.
 func (n *Node) FollowingEntries() int { return int(n.following.Load()) }
 
-// logHoldFailure logs the first of several failed holds in a row. The error tells a refused connection from a lost call.
+// logHoldFailure logs the first of several failed hold calls in a row, with its error: a refused call says more about the upstream than a
+// lost one.
 func (n *Node) logHoldFailure(err error) {
 	if err != nil && !n.holdsFailing {
 		n.log.WithField("error", err.Error()).Info("hold_unanswered")
