--- a/internal/entry/caller/caller.go
+++ b/internal/entry/caller/caller.go
@@ -144,7 +144,7 @@
 func (h *Handler) applyServicePolicy(r *dispatch.Request, body *api.Job, began time.Time) (field, message string) {
 	services := h.services()
 	if !services.Knows(r.Route.Service) {
-		return "service", fmt.Sprintf("service %q does not exist", r.Route.Service)
+		return "service", fmt.Sprintf("service %.64q does not exist", r.Route.Service)
 	}
 	if limit := services.MaxTasks(r.Route.Service); limit > 0 && r.Spec.TaskCount() > limit {
 		return "steps", fmt.Sprintf("the job has %d tasks, but the service allows at most %d", r.Spec.TaskCount(), limit)
--- a/internal/entry/operator/change.go
+++ b/internal/entry/operator/change.go
@@ -122,7 +122,7 @@
 	}
 	v, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
 	if err != nil || v == 0 {
-		return 0, &object.FieldError{Field: "If-Match", Reason: fmt.Sprintf("is %q; want the ETag that was read, or If-None-Match: * to create the object", r.Header.Get("If-Match"))}
+		return 0, &object.FieldError{Field: "If-Match", Reason: fmt.Sprintf("is %.64q; want the ETag that was read, or If-None-Match: * to create the object", r.Header.Get("If-Match"))}
 	}
 	return v, nil
 }
