--- a/internal/entry/node/config.go
+++ b/internal/entry/node/config.go
@@ -23,17 +23,17 @@
 	return (minRelayAgents + shared - 1) / shared
 }
 
-// Decoder decodes a configuration that an agent has passed on.
+// Decoder decodes the raw form of a configuration.
 type Decoder func(raw []byte) (*route.Table, error)
 
-// Configure puts a configuration from the store in force, unless the one in force is as new.
+// Configure puts a configuration from the store in force, unless the one in force is as new or newer.
 func (n *Node) Configure(t *route.Table) { n.loop.Post(configured{table: t}) }
 
 // Routes returns the configuration in force, or nil before there is one.
 func (n *Node) Routes() *route.Table { return n.routes.Load() }
 
-// handleConfigured puts a configuration in force unless the one in force is as new. from is the agent that passed it on, or zero
-// for the store.
+// handleConfigured puts a configuration in force unless the one in force is as new or newer. from is the agent that passed it on,
+// or zero for the store.
 func (n *Node) handleConfigured(t *route.Table, from ident.Incarnation) {
 	current := n.routes.Load()
 	if current != nil && t.Version <= current.Version {
