--- a/commands/demo.go
+++ b/commands/demo.go
@@ -26,11 +26,11 @@
 
 // The set that the demo runs, and the jobs that it sends: those of a podcast's publishing, a few a second.
 const (
-	demoEntries = 3
-	demoAgents  = 4
-	demoCores   = 16
-	demoEvery   = 25 * time.Millisecond
-	demoService = "publish"
+	demoEntries  = 3
+	demoAgents   = 4
+	demoCores    = 16
+	demoInterval = 25 * time.Millisecond
+	demoService  = "publish"
 	// The bounds of the response times, in milliseconds: 1 ms to a minute; and their precision, in decimal digits.
 	demoLowest, demoHighest, demoDigits = 1, 60_000, 2
 )
@@ -71,7 +71,7 @@
 		set.Stop()
 	}()
 	fmt.Fprintf(out, "set: a store, %d entries, %d agents with upstreams of %d cores\n", demoEntries, demoAgents, demoCores)
-	r, err := drive(ctx, set.Callers(), c.Duration("for"))
+	r, err := sendJobs(ctx, set.Callers(), c.Duration("for"))
 	if err != nil {
 		return cli.Exit(err.Error(), exit.Failed)
 	}
@@ -79,10 +79,10 @@
 	if c.Bool("keep") {
 		fmt.Fprintf(out, "\nthe set keeps running\ncallers: http://%s\nmetrics: http://127.0.0.1:7500/metrics\noperators' token: %s\n",
 			set.Callers()[0], embedded.Token)
-		awaitEnd(ctx, takeSignals(), log, nil)
+		awaitStop(ctx, notifySignals(), log, nil)
 	}
 	switch {
-	case len(set.Ledger.Broken()) > 0:
+	case len(set.Ledger.Violations()) > 0:
 		return cli.Exit("a task ran twice at a time, or an upstream was over its room", exit.Violation)
 	case !ok:
 		return cli.Exit("a job did not complete", exit.Failed)
@@ -100,14 +100,14 @@
 }
 
 // drive sends jobs for a while and waits for their answers.
-func drive(ctx context.Context, entries []string, length time.Duration) (*demoResult, error) {
+func sendJobs(ctx context.Context, entries []string, length time.Duration) (*demoResult, error) {
 	cl, err := client.New(client.Options{Entries: entries, Connections: 256})
 	if err != nil {
 		return nil, err
 	}
 	r := &demoResult{states: make(map[api.State]int), times: hdrhistogram.New(demoLowest, demoHighest, demoDigits)}
 	var group sync.WaitGroup
-	ticker := time.NewTicker(demoEvery)
+	ticker := time.NewTicker(demoInterval)
 	defer ticker.Stop()
 	end := time.After(length)
 	for i := 0; ; i++ {
@@ -147,7 +147,7 @@
 }
 
 // print tells what was seen, and whether all of it was good.
-func (r *demoResult) print(out io.Writer, set *embedded.Set) bool {
+func (r *demoResult) print(out io.Writer, set *embedded.Cluster) bool {
 	starts, done := set.Ledger.Counts()
 	total := 0
 	for _, n := range r.states {
@@ -155,6 +155,6 @@
 	}
 	fmt.Fprintf(out, "jobs                %d, complete %d, without answer %d\n", total, r.states[verdict.Complete], len(r.errors))
 	fmt.Fprintf(out, "response time       p50 %d ms, p99 %d ms\n", r.times.ValueAtQuantile(50), r.times.ValueAtQuantile(99))
-	fmt.Fprintf(out, "tasks               %d, runs %d, ended well %d, rules broken %d\n", r.tasks, starts, done, len(set.Ledger.Broken()))
+	fmt.Fprintf(out, "tasks               %d, runs %d, ended well %d, rules broken %d\n", r.tasks, starts, done, len(set.Ledger.Violations()))
 	return r.states[verdict.Complete] == total && total > 0 && len(r.errors) == 0
 }
--- a/internal/agent/node/cordons.go
+++ b/internal/agent/node/cordons.go
@@ -22,7 +22,7 @@
 		"of": s.Source, "version": s.Version, "zones": s.Zones, "source": source, "zone": state,
 	}).Info("cordons_adopted")
 	n.controller.SetZone(state)
-	n.links.TellCordons(n.cordons.Snapshots())
+	n.links.SendCordons(n.cordons.Snapshots())
 }
 
 // zoneState returns the state of the VM's own zone. The zone is cordoned if any source cordons it. It is open only if the snapshots of
--- a/internal/agent/node/node.go
+++ b/internal/agent/node/node.go
@@ -64,7 +64,7 @@
 	crashes *crash.Tracker
 	// localCrashes holds the crashes of this VM's upstreams, which are saved in the memory.
 	localCrashes []fleet.Crash
-	pulse        links.Pulse
+	pulse        links.PauseDetector
 	// holdsFailing is true if the last hold call got no answer.
 	holdsFailing bool
 }
@@ -75,7 +75,7 @@
 	n := &Node{
 		set: set, log: log, dial: dial, upstream: u, memory: m, inc: ident.NewIncarnation(), loop: loop.New(), ctx: ctx, cancel: cancel,
 		links:           links.New[linkState]("entry", cordon.NewPeerWithoutCordons, log),
-		pulse:           links.Pulse{Limit: set.Links.Silence / 2, Pause: set.Links.Silence / 4, Log: log},
+		pulse:           links.PauseDetector{MaxGap: set.Links.Silence / 2, MaxRunningGap: set.Links.Silence / 4, Log: log},
 		dialled:         make(map[string]*dialTarget),
 		listed:          make(map[source][]fleet.Entry),
 		listedByEntries: make(map[ident.Incarnation][]fleet.Entry),
@@ -86,7 +86,7 @@
 		callTimeout:     timeout.New(callTimeoutFactor, minCallTimeout, set.Agent.CallTimeout),
 	}
 	n.observer = newObserver(set.Links.Timing(), log)
-	n.pulse.Every, n.pulse.Late = set.Links.Tick, n.observer.Ticked
+	n.pulse.Interval, n.pulse.OnTick = set.Links.Tick, n.observer.Ticked
 	n.pulse.Tick(boottime.Now())
 	n.controller = upstream.New(set.Links.Timing(), nil, boottime.Now(), (*caller)(n), (*sender)(n), n.observer)
 	n.controller.SetZone(upstream.ZoneUnknown)
@@ -261,7 +261,7 @@
 func (n *Node) countFollowing() {
 	var count int32
 	for l := range n.links.All() {
-		if l.Own.follows {
+		if l.State.follows {
 			count++
 		}
 	}
@@ -304,7 +304,7 @@
 	now := boottime.Now()
 	n.pulse.Tick(now)
 	n.controller.Tick(now)
-	for _, l := range n.links.DropSilent(now, n.pulse.Running, links.Limits{Quiet: n.set.Links.LinkTimeout(), Silence: n.set.Links.Silence}) {
+	for _, l := range n.links.DropSilent(now, n.pulse.RunningSince, links.Limits{LinkTimeout: n.set.Links.LinkTimeout(), Silence: n.set.Links.Silence}) {
 		n.controller.EntryUnlinked(now, l.Peer, "silent")
 	}
 	n.countFollowing()
--- a/internal/entry/node/config.go
+++ b/internal/entry/node/config.go
@@ -103,7 +103,7 @@
 		if left == 0 {
 			return
 		}
-		if l.Own.peersVersion != n.peersVersion {
+		if l.State.peersVersion != n.peersVersion {
 			n.sendPeers(l)
 			left--
 		}
@@ -112,6 +112,6 @@
 
 // sendPeers sends the newest list of entries to an agent.
 func (n *Node) sendPeers(l *link) {
-	l.Own.peersVersion = n.peersVersion
+	l.State.peersVersion = n.peersVersion
 	l.Session.Send(codec.Peers(n.peers))
 }
