--- a/commands/agent.go
+++ b/commands/agent.go
@@ -34,7 +34,9 @@
 	upstream := platform.NewUpstream(ident.Address(set.Agent.Upstream), set.Agent.Connections, set.Agent.CallTimeout)
 	p, err := agent.New(set, agent.Deps{
 		Store: platform.NewStore(ident.Address(set.Platform.Store), set.Platform.Timeout), Upstream: upstream, Cordons: platform.Cordons,
-		Heartbeats: func(n *node.Node) http.Handler { return platform.Beats(n, ident.Service(set.Agent.Service), log) }, Dial: session.TCP, Log: log,
+		Heartbeats: func(n *node.Node) http.Handler {
+			return platform.NewHeartbeatHandler(n, ident.Service(set.Agent.Service), log)
+		}, Dial: session.TCP, Log: log,
 	})
 	if err != nil {
 		return cli.Exit(err.Error(), exit.Usage)
--- a/commands/demo.go
+++ b/commands/demo.go
@@ -82,7 +82,7 @@
 		awaitEnd(ctx, takeSignals(), log, nil)
 	}
 	switch {
-	case len(set.Ledger.Broken()) > 0:
+	case len(set.Ledger.Violations()) > 0:
 		return cli.Exit("a task ran twice at a time, or an upstream was over its room", exit.Violation)
 	case !ok:
 		return cli.Exit("a job did not complete", exit.Failed)
@@ -155,6 +155,6 @@
 	}
 	fmt.Fprintf(out, "jobs                %d, complete %d, without answer %d\n", total, r.states[verdict.Complete], len(r.errors))
 	fmt.Fprintf(out, "response time       p50 %d ms, p99 %d ms\n", r.times.ValueAtQuantile(50), r.times.ValueAtQuantile(99))
-	fmt.Fprintf(out, "tasks               %d, runs %d, ended well %d, rules broken %d\n", r.tasks, starts, done, len(set.Ledger.Broken()))
+	fmt.Fprintf(out, "tasks               %d, runs %d, ended well %d, rules broken %d\n", r.tasks, starts, done, len(set.Ledger.Violations()))
 	return r.states[verdict.Complete] == total && total > 0 && len(r.errors) == 0
 }
--- a/commands/entry.go
+++ b/commands/entry.go
@@ -33,7 +33,7 @@
 	p, err := entry.New(set, entry.Deps{
 		Store: platform.NewStore(ident.Address(set.Platform.Store), set.Platform.Timeout), Config: platform.ConfigKey, Cordons: platform.Cordons,
 		Decode: platform.ReadConfig, Log: log,
-		Front: func(n *node.Node) http.Handler { return platform.NewFront(n, int64(set.Entry.MaxBody), log) },
+		Front: func(n *node.Node) http.Handler { return platform.NewClientHandler(n, int64(set.Entry.MaxBody), log) },
 	})
 	if err != nil {
 		return cli.Exit(err.Error(), exit.Usage)
--- a/commands/standin.go
+++ b/commands/standin.go
@@ -93,7 +93,7 @@
 	}
 	u := standin.NewUpstream(standin.UpstreamOptions{
 		Name: set.Node.Name, Service: set.Upstream.Service, Agent: string(set.Upstream.Agent),
-		CPU: int64(set.Upstream.Cores) * 1000, MemMB: standinMemory, Beat: set.Upstream.Beat,
+		CPU: int64(set.Upstream.Cores) * 1000, MemMB: standinMemory, HeartbeatInterval: set.Upstream.Beat,
 	})
 	defer u.Close()
 	return serveStandin(ctx, web.New("the upstream", set.Upstream.Listen, u.Handler(), web.Internal), log)
--- a/internal/agent/node/cordons.go
+++ b/internal/agent/node/cordons.go
@@ -22,7 +22,7 @@
 		"of": s.Source, "version": s.Version, "zones": s.Zones, "source": source, "zone": state,
 	}).Info("cordons_adopted")
 	n.manager.SetZone(state)
-	n.links.TellCordons(n.cordons.Snapshots())
+	n.links.SendCordons(n.cordons.Snapshots())
 }
 
 // zoneState is what is known of the VM's own zone. What one source says is enough to start nothing, and takes all sources to say
--- a/internal/agent/node/links.go
+++ b/internal/agent/node/links.go
@@ -135,7 +135,7 @@
 	since, greet := time.Now(), n.set.Links.LinkTimeout()
 	for ctx.Err() == nil {
 		began := time.Now()
-		s, err := session.Dial(n.dial, address, session.Limits{Dial: n.set.Links.DialTimeout, Greet: greet}, n.hello())
+		s, err := session.Dial(n.dial, address, session.Limits{Dial: n.set.Links.DialTimeout, Handshake: greet}, n.hello())
 		greet = n.nextGreetTimeout(greet, err)
 		if err != nil {
 			n.loop.Post(dialFailed{address, errors.Is(err, syscall.ECONNREFUSED)})
@@ -165,7 +165,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n.set.Links.LinkTimeout()
 	}
-	return min(2*last, session.LongestGreeting)
+	return min(2*last, session.MaxHandshake)
 }
 
 // hello is this process's first message on each link.
@@ -207,7 +207,7 @@
 	n.sendAllCrashes(now, l)
 	n.manager.EntryLinked(now, l.Peer)
 	n.relayConfig(now, l)
-	l.TellCordons(n.cordons.Snapshots())
+	l.SendCordons(n.cordons.Snapshots())
 }
 
 // needsName tells whether an entry is linked or has runs here.
@@ -234,7 +234,7 @@
 
 // handleLinkDown handles the end of a link's session: its entry is out of hearing.
 func (n *Node) handleLinkDown(now time.Time, s *session.Session, err error) {
-	if l := n.links.Ended(s, err); l != nil {
+	if l := n.links.RemoveEnded(s, err); l != nil {
 		n.manager.EntryUnlinked(now, l.Peer, "link_down")
 	}
 }
@@ -257,7 +257,7 @@
 	case *wire.Msg_Ping:
 		k := codec.ReadPing(m.Ping)
 		n.manager.Ping(now, l.Peer, k.Echo, k.Pace)
-		l.Own.follows = k.Follows
+		l.State.follows = k.Follows
 		l.Config = max(l.Config, k.Config)
 		n.relayConfig(now, l)
 	case *wire.Msg_Noted:
@@ -275,8 +275,8 @@
 	case *wire.Msg_Config:
 		n.handleConfig(now, l, m.Config)
 	case *wire.Msg_Cordons:
-		n.adoptCordons(l.HeardCordons(m.Cordons), "link")
-		l.TellCordons(n.cordons.Snapshots()) // what it told may be out of date
+		n.adoptCordons(l.ReceiveCordons(m.Cordons), "link")
+		l.SendCordons(n.cordons.Snapshots()) // what it told may be out of date
 	case *wire.Msg_Crashes:
 		crashes, refuted := codec.ReadCrashes(m.Crashes)
 		n.mergeCrashes(now, l, crashes, refuted)
--- a/internal/agent/node/node.go
+++ b/internal/agent/node/node.go
@@ -61,7 +61,7 @@
 	crashes *crash.Tracker
 	// lostHere are those of this VM's upstreams, to be remembered.
 	localCrashes []fleet.Crash
-	pulse        links.Pulse
+	pulse        links.PauseDetector
 	// holdsFail is true while holds get no answer.
 	holdsFailing bool
 }
@@ -72,7 +72,7 @@
 	n := &Node{
 		set: set, log: log, dial: dial, upstream: u, memory: m, inc: ident.NewIncarnation(), loop: loop.New(), ctx: ctx, cancel: cancel,
 		links:           links.New[linkState]("entry", cordon.NewPeerWithoutCordons, log),
-		pulse:           links.Pulse{Limit: set.Links.Silence / 2, Pause: set.Links.Silence / 4, Log: log},
+		pulse:           links.PauseDetector{MaxGap: set.Links.Silence / 2, MaxRunningGap: set.Links.Silence / 4, Log: log},
 		dialled:         make(map[string]*dialTarget),
 		listed:          make(map[source][]fleet.Entry),
 		listedByEntries: make(map[ident.Incarnation][]fleet.Entry),
@@ -83,7 +83,7 @@
 		patience:        timeout.New(patienceFactor, minPatience, set.Agent.CallTimeout),
 	}
 	n.observer = newObserver(set.Links.Timing(), log)
-	n.pulse.Every, n.pulse.Late = set.Links.Tick, n.observer.Ticked
+	n.pulse.Interval, n.pulse.OnTick = set.Links.Tick, n.observer.Ticked
 	n.pulse.Tick(boottime.Now())
 	n.manager = upstream.New(set.Links.Timing(), nil, boottime.Now(), (*caller)(n), (*sender)(n), n.observer)
 	n.manager.SetZone(upstream.ZoneUnknown)
@@ -247,7 +247,7 @@
 func (n *Node) countFollowing() {
 	var count int32
 	for l := range n.links.All() {
-		if l.Own.follows {
+		if l.State.follows {
 			count++
 		}
 	}
@@ -287,7 +287,7 @@
 	now := boottime.Now()
 	n.pulse.Tick(now)
 	n.manager.Tick(now)
-	for _, l := range n.links.DropSilent(now, n.pulse.Running, links.Limits{Quiet: n.set.Links.LinkTimeout(), Silence: n.set.Links.Silence}) {
+	for _, l := range n.links.DropSilent(now, n.pulse.RunningSince, links.Limits{LinkTimeout: n.set.Links.LinkTimeout(), Silence: n.set.Links.Silence}) {
 		n.manager.EntryUnlinked(now, l.Peer, "silent")
 	}
 	n.countFollowing()
--- a/internal/agent/process/process.go
+++ b/internal/agent/process/process.go
@@ -81,8 +81,8 @@
 	}{
 		{nameNode, p.Node},
 		{nameHeartbeats, web.New("heartbeats", set.Agent.Control, d.Heartbeats(p.Node), web.Internal)},
-		{nameEntries, follow.New(d.Store, members.Table, follow.SinglePart, set.Platform.ListWait, dir.Change, d.Log).With(follow.Options{
-			BatchDelay: dir.Gather, Idle: p.relayedByEntries(time.Now(), entriesGrace),
+		{nameEntries, follow.New(d.Store, members.Table, follow.SinglePart, set.Platform.ListWait, dir.HandleChanges, d.Log).With(follow.Options{
+			BatchDelay: dir.BatchDelay, Idle: p.relayedByEntries(time.Now(), entriesGrace),
 		})},
 		{nameCordons, p.followCordons(d, d.Cordons)},
 		{nameObjects, p.followCordons(d, store.Cordons)},
--- a/internal/entry/node/config.go
+++ b/internal/entry/node/config.go
@@ -102,7 +102,7 @@
 		if left == 0 {
 			return
 		}
-		if l.Own.peersVersion != n.peersVersion {
+		if l.State.peersVersion != n.peersVersion {
 			n.sendPeers(l)
 			left--
 		}
@@ -111,6 +111,6 @@
 
 // sendPeers tells an agent of the newest list.
 func (n *Node) sendPeers(l *link) {
-	l.Own.peersVersion = n.peersVersion
+	l.State.peersVersion = n.peersVersion
 	l.Session.Send(codec.Peers(n.peers))
 }
--- a/internal/entry/node/cordons.go
+++ b/internal/entry/node/cordons.go
@@ -17,7 +17,7 @@
 		return
 	}
 	// Agents hear of it before the table places anything that the news make room for.
-	n.links.TellCordons(n.cordons.Snapshots())
+	n.links.SendCordons(n.cordons.Snapshots())
 	n.table.SetCordoned(now, n.cordons.Zones())
 	n.log.WithFields(logrus.Fields{"of": s.Source, "version": s.Version, "zones": s.Zones, "source": source}).Info("cordons_adopted")
 	for _, w := range n.table.Zones() {
--- a/internal/entry/node/links.go
+++ b/internal/entry/node/links.go
@@ -61,7 +61,7 @@
 
 // handleLinkUp takes up a new link, in place of an older one with the same agent.
 func (n *Node) handleLinkUp(now time.Time, s *session.Session) {
-	if n.links.Outdated(s) {
+	if n.links.IsOutdated(s) {
 		s.Close()
 		return
 	}
@@ -70,8 +70,8 @@
 		n.unlinked(now, old)
 	}
 	l := n.links.Add(now, s)
-	l.Own.pinged = now
-	l.TellCordons(n.cordons.Snapshots())
+	l.State.pinged = now
+	l.SendCordons(n.cordons.Snapshots())
 	n.sendRepeatedCrashes(now, l)
 	n.linked.Store(int32(n.links.Len()))
 	n.table.HandleLinked(now, l.Peer, ident.UpstreamName(l.Name()), ident.Zone(s.Remote.GetZone()))
@@ -82,7 +82,7 @@
 
 // handleLinkDown handles the end of a link's session.
 func (n *Node) handleLinkDown(now time.Time, s *session.Session, err error) {
-	if l := n.links.Ended(s, err); l != nil {
+	if l := n.links.RemoveEnded(s, err); l != nil {
 		n.unlinked(now, l)
 	}
 }
@@ -101,8 +101,8 @@
 		n.table.HandleUpstream(now, l.Peer, codec.ReadUpstream(m.Upstream))
 	case *wire.Msg_Room:
 		r := codec.ReadRoom(m.Room)
-		first := l.Own.clock == 0
-		l.Own.clock = r.Clock
+		first := l.State.clock == 0
+		l.State.clock = r.Clock
 		if first {
 			n.ping(now, l)
 		}
@@ -121,8 +121,8 @@
 	case *wire.Msg_Settled:
 		n.table.HandleSettled(now, l.Peer)
 	case *wire.Msg_Cordons:
-		n.adoptCordons(now, l.HeardCordons(m.Cordons), "relay")
-		l.TellCordons(n.cordons.Snapshots()) // what it told may be out of date
+		n.adoptCordons(now, l.ReceiveCordons(m.Cordons), "relay")
+		l.SendCordons(n.cordons.Snapshots()) // what it told may be out of date
 	case *wire.Msg_Crashes:
 		crashes, refuted := codec.ReadCrashes(m.Crashes)
 		n.mergeCrashes(now, l, crashes, refuted)
@@ -142,12 +142,12 @@
 
 // ping lets an agent keep this entry's runs.
 func (n *Node) ping(now time.Time, l *link) {
-	l.Own.pinged = now
+	l.State.pinged = now
 	var v ident.ConfigVersion
 	if t := n.routes.Load(); t != nil {
 		v = t.Version
 	}
-	l.Session.Send(codec.Ping(fleet.KeepAlive{Echo: l.Own.clock, Config: v, Pace: n.table.Pace(), Follows: n.follows()}))
+	l.Session.Send(codec.Ping(fleet.KeepAlive{Echo: l.State.clock, Config: v, Pace: n.table.Pace(), Follows: n.follows()}))
 }
 
 // sender sends the table's orders to agents.
--- a/internal/entry/node/links_test.go
+++ b/internal/entry/node/links_test.go
@@ -45,7 +45,7 @@
 	qt.Assert(t, n.Start(context.Background()), qt.IsNil)
 	defer n.Stop()
 	link := func(number uint64, upstream string) *session.Session {
-		s, err := session.Dial(session.TCP, n.Address(), session.Limits{Dial: time.Second, Greet: time.Second}, &wire.Hello{Role: "agent", Name: "vm", Incarnation: 7, Session: number})
+		s, err := session.Dial(session.TCP, n.Address(), session.Limits{Dial: time.Second, Handshake: time.Second}, &wire.Hello{Role: "agent", Name: "vm", Incarnation: 7, Session: number})
 		qt.Assert(t, err, qt.IsNil)
 		t.Cleanup(s.Close)
 		s.Send(codec.Upstream(fleet.Upstream{ID: ident.UpstreamID(upstream), Service: "publish", Total: job.Resources{CPU: 1000}}))
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -56,7 +56,7 @@
 	peersVersion int
 	// cordons is what is known of the zones that operators have cordoned.
 	cordons *cordon.Set
-	pulse   links.Pulse
+	pulse   links.PauseDetector
 
 	routes  atomic.Pointer[route.Table]
 	lastID  atomic.Uint64
@@ -86,7 +86,7 @@
 	n := &Node{
 		ctx: ctx, cancel: cancel, storeCtx: questions, cancelStoreCtx: closeQuestions, set: set, log: log, inc: ident.NewIncarnation(), loop: loop.New(), decode: d,
 		links:   links.New[linkState]("agent", cordon.NewPeer, log),
-		pulse:   links.Pulse{Limit: set.Links.Silence / 2, Pause: set.Links.Silence / 4, Every: set.Links.Tick, Late: recordTickDelay, Log: log},
+		pulse:   links.PauseDetector{MaxGap: set.Links.Silence / 2, MaxRunningGap: set.Links.Silence / 4, Interval: set.Links.Tick, OnTick: recordTickDelay, Log: log},
 		callers: make(map[dispatch.CallerID]chan dispatch.Answer), cordons: cordon.NewSet(nil),
 		follows: func() bool { return false },
 	}
@@ -241,11 +241,11 @@
 	n.pulse.Tick(now)
 	n.keptJobs.Tick(now)
 	n.table.Tick(now)
-	for _, l := range n.links.DropSilent(now, n.pulse.Running, links.Limits{Quiet: n.set.Links.LinkTimeout(), Silence: n.set.Links.Silence}) {
+	for _, l := range n.links.DropSilent(now, n.pulse.RunningSince, links.Limits{LinkTimeout: n.set.Links.LinkTimeout(), Silence: n.set.Links.Silence}) {
 		n.unlinked(now, l)
 	}
 	for l := range n.links.All() {
-		if now.Sub(l.Own.pinged) >= n.set.Links.KeepAlive {
+		if now.Sub(l.State.pinged) >= n.set.Links.KeepAlive {
 			n.ping(now, l)
 		}
 	}
--- a/internal/entry/process/coverage.go
+++ b/internal/entry/process/coverage.go
@@ -59,7 +59,7 @@
 		case <-time.After(coverageEvery):
 		}
 		if t := c.node.Routes(); t != nil && c.dir.Len() > c.maxLinks {
-			c.register.Want(c.servicesShort(t.Routes, c.node.Upstreams()))
+			c.register.RequestAgents(c.servicesShort(t.Routes, c.node.Upstreams()))
 		}
 	}
 }
--- a/internal/entry/process/process.go
+++ b/internal/entry/process/process.go
@@ -103,7 +103,7 @@
 		WatchTimeout: func() time.Duration { return configWait(set, dir.Len()) },
 	})
 	objectsFollower := follow.New(d.Store, store.Objects, follow.SinglePart, set.Platform.ListWait, p.objectsReader(objects), d.Log)
-	entriesFollower := follow.New(d.Store, members.Table, follow.SinglePart, set.Platform.ListWait, dir.Change, d.Log).With(follow.Options{BatchDelay: dir.Gather})
+	entriesFollower := follow.New(d.Store, members.Table, follow.SinglePart, set.Platform.ListWait, dir.HandleChanges, d.Log).With(follow.Options{BatchDelay: dir.BatchDelay})
 	p.Node.SetFollows(func() bool { return configFollower.Current() && objectsFollower.Current() && entriesFollower.Current() })
 	services := []namedService{
 		{nameNode, p.Node},
--- a/internal/link/codec/codec.go
+++ b/internal/link/codec/codec.go
@@ -167,7 +167,7 @@
 }
 
 // named is a message with the name of a run.
-type named interface {
+type runRefMessage interface {
 	GetJob() uint64
 	GetStep() uint32
 	GetIndex() uint32
@@ -175,18 +175,18 @@
 }
 
 // readRunRef decodes the name of a run.
-func readRunRef(r named) fleet.RunRef {
+func readRunRef(r runRefMessage) fleet.RunRef {
 	return fleet.RunRef{Task: job.TaskID{Job: job.ID(r.GetJob()), Step: r.GetStep(), Index: r.GetIndex()}, Run: job.Run(r.GetRun())}
 }
 
 // identified is a message with the name of a run that an entry has ordered.
-type identified interface {
-	named
+type orderedRunMessage interface {
+	runRefMessage
 	GetId() uint64
 }
 
 // readOrderedRun decodes the name of a run that an entry has ordered.
-func readOrderedRun(r identified) fleet.OrderedRun {
+func readOrderedRun(r orderedRunMessage) fleet.OrderedRun {
 	return fleet.OrderedRun{RunRef: readRunRef(r), ID: fleet.RunID(r.GetId())}
 }
 
--- a/internal/link/deflate/deflate.go
+++ b/internal/link/deflate/deflate.go
@@ -16,7 +16,7 @@
 
 const (
 	// least is from how many bytes on a text is compressed: a shorter one fits into the packet that its order takes anyway.
-	least = 200
+	minText = 200
 	// MaxText bounds a text that is compressed, in bytes: sixteen times the 4,000 that the platform's callers may send. It keeps a
 	// damaged message from taking an agent's memory.
 	MaxText = 64 << 10
@@ -41,7 +41,7 @@
 
 // Compress returns the compressed text, or nil where that gains nothing.
 func Compress(text string) []byte {
-	if len(text) < least || len(text) > MaxText {
+	if len(text) < minText || len(text) > MaxText {
 		return nil
 	}
 	w := writers.Get().(*flate.Writer)
--- a/internal/link/links/links_test.go
+++ b/internal/link/links/links_test.go
@@ -26,7 +26,7 @@
 			session.Accept(far, &wire.Hello{Name: "far"}) //nolint:errcheck // its end is the test's
 		}
 	}()
-	s, err := session.Dial(session.TCP, ln.Addr().String(), session.Limits{Dial: time.Second, Greet: time.Second}, &wire.Hello{})
+	s, err := session.Dial(session.TCP, ln.Addr().String(), session.Limits{Dial: time.Second, Handshake: time.Second}, &wire.Hello{})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(s.Close)
 	set := links.New[int]("peer", cordon.NewPeer, logs.Discard())
@@ -36,7 +36,7 @@
 
 // TestDropSilent: a link is given up early if this process runs and hears nothing; what came while it stood still is read first.
 func TestDropSilent(t *testing.T) {
-	limits := links.Limits{Quiet: 250 * time.Millisecond, Silence: 400 * time.Millisecond}
+	limits := links.Limits{LinkTimeout: 250 * time.Millisecond, Silence: 400 * time.Millisecond}
 	for _, test := range []struct {
 		name            string
 		silent, running time.Duration
@@ -64,9 +64,9 @@
 	log, err := logs.New(&out, "info", "entry", "e")
 	qt.Assert(t, err, qt.IsNil)
 	var late []time.Duration
-	p := links.Pulse{
-		Limit: 200 * time.Millisecond, Pause: 100 * time.Millisecond, Every: 20 * time.Millisecond, Log: log,
-		Late: func(d time.Duration) { late = append(late, d) },
+	p := links.PauseDetector{
+		MaxGap: 200 * time.Millisecond, MaxRunningGap: 100 * time.Millisecond, Interval: 20 * time.Millisecond, Log: log,
+		OnTick: func(d time.Duration) { late = append(late, d) },
 	}
 	now := time.Now()
 	for _, test := range []struct {
@@ -76,14 +76,14 @@
 		{time.Hour, true}, {20 * time.Millisecond, false}, {100 * time.Millisecond, false}, {101 * time.Millisecond, true}, {20 * time.Millisecond, false},
 		{300 * time.Millisecond, true},
 	} {
-		before := p.Running
+		before := p.RunningSince
 		now = now.Add(test.gap)
 		p.Tick(now)
 		want := before
 		if test.paused {
 			want = now
 		}
-		qt.Assert(t, p.Running, qt.Equals, want)
+		qt.Assert(t, p.RunningSince, qt.Equals, want)
 	}
 	qt.Assert(t, strings.Count(out.String(), "process_stood_still"), qt.Equals, 1)
 	qt.Assert(t, late, qt.DeepEquals, []time.Duration{0, 80 * time.Millisecond, 81 * time.Millisecond, 0, 280 * time.Millisecond})
--- a/internal/link/members/members.go
+++ b/internal/link/members/members.go
@@ -41,8 +41,8 @@
 
 // Directory is the list of entries as the store has it.
 type Directory struct {
-	changed func([]fleet.Entry)
-	log     *logrus.Entry
+	onChange func([]fleet.Entry)
+	log      *logrus.Entry
 
 	mu  sync.Mutex
 	all map[ident.Address]fleet.Entry
@@ -50,7 +50,7 @@
 
 // NewDirectory returns an empty Directory; changed is called with all entries each time one comes, goes or changes.
 func NewDirectory(changed func([]fleet.Entry), log *logrus.Entry) *Directory {
-	return &Directory{changed: changed, log: log, all: make(map[ident.Address]fleet.Entry)}
+	return &Directory{onChange: changed, log: log, all: make(map[ident.Address]fleet.Entry)}
 }
 
 // Len returns how many entries are listed.
@@ -63,16 +63,18 @@
 const (
 	// gatherEach is for how long changes of the list are gathered, for each entry in it. Where a whole region starts, all entries come
 	// within a second, and each of their rows would else wake all processes.
-	gatherEach = 3 * time.Millisecond
+	batchDelayPerEntry = 3 * time.Millisecond
 	// gatherMost bounds it: an entry that has just started gets no work before agents have heard of it.
-	gatherMost = 2 * time.Second
+	maxBatchDelay = 2 * time.Second
 )
 
 // Gather is for how long a process gathers changes of the list before it reads them.
-func (d *Directory) Gather() time.Duration { return min(time.Duration(d.Len())*gatherEach, gatherMost) }
+func (d *Directory) BatchDelay() time.Duration {
+	return min(time.Duration(d.Len())*batchDelayPerEntry, maxBatchDelay)
+}
 
 // Change takes in changes of the table; it is a follow.Change.
-func (d *Directory) Change(c follow.Changes) {
+func (d *Directory) HandleChanges(c follow.Changes) {
 	d.mu.Lock()
 	if c.Complete {
 		clear(d.all)
@@ -96,5 +98,5 @@
 	}
 	live := slices.SortedFunc(maps.Values(d.all), func(a, b fleet.Entry) int { return cmp.Compare(a.Address, b.Address) })
 	d.mu.Unlock()
-	d.changed(live)
+	d.onChange(live)
 }
--- a/internal/link/members/members_test.go
+++ b/internal/link/members/members_test.go
@@ -198,7 +198,7 @@
 	row := func(name, value string) rows.Row {
 		return rows.Row{Key: rows.Key{Table: members.Table, Name: name}, Value: []byte(value)}
 	}
-	d.Change(follow.Changes{Complete: true, Rows: []rows.Row{
+	d.HandleChanges(follow.Changes{Complete: true, Rows: []rows.Row{
 		row(address, `{"name":"entry-1"}`), row("10.0.0.2:7400", "\xff\x00"), row("10.0.0.3:7400", `{"name":7,"wants":"all"}`),
 		row("", `{"name":"entry-4"}`), row("entry-5", `{}`), row("10.0.0.6", `{}`), row("host:7400", `{}`),
 	}})
--- a/internal/link/members/registrar.go
+++ b/internal/link/members/registrar.go
@@ -33,14 +33,14 @@
 }
 
 // Writer is what a Registrar needs of the store.
-type Writer interface {
+type Store interface {
 	Range(ctx context.Context, r rows.Range) (rows.Page, error)
 	Commit(ctx context.Context, t rows.Txn) (rows.Version, error)
 }
 
 // Registrar keeps one entry's rows.
 type Registrar struct {
-	store   Writer
+	store   Store
 	address ident.Address
 	log     *logrus.Entry
 	// entries tells how many entries are known.
@@ -55,13 +55,13 @@
 }
 
 // NewRegistrar returns a Registrar that has not begun; entries tells how many entries are known.
-func NewRegistrar(s Writer, address ident.Address, e Entry, entries func() int, log *logrus.Entry) *Registrar {
+func NewRegistrar(s Store, address ident.Address, e Entry, entries func() int, log *logrus.Entry) *Registrar {
 	return &Registrar{store: s, address: address, entry: e, entries: entries, log: log, done: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
 // Want lets agents of some services link to the entry, beside those that do anyway. They do so for the entry's life, and
 // that of its successor at the same address.
-func (r *Registrar) Want(services []ident.Service) {
+func (r *Registrar) RequestAgents(services []ident.Service) {
 	if !r.addWants(services) {
 		return
 	}
@@ -118,7 +118,7 @@
 	if row == nil || !r.isOwn(row) {
 		return nil
 	}
-	txn := present.conditions(r.address)
+	txn := present.conditionalTxn(r.address)
 	txn.Remove = []rows.Key{r.key(Table), r.key(renewals)}
 	_, err = r.store.Commit(ctx, txn)
 	return err
@@ -144,11 +144,11 @@
 
 // sweeps is how many entries look at each renewal for what others have left behind, on average. If all did, what they read would grow
 // with the square of their number.
-const sweeps = 3
+const sweepsPerInterval = 3
 
 // scope returns the rows that a renewal reads: the entry's own, and now and then all.
-func (r *Registrar) scope() rows.Range {
-	if n := r.entries(); n > sweeps && rand.IntN(n) >= sweeps {
+func (r *Registrar) readRange() rows.Range {
+	if n := r.entries(); n > sweepsPerInterval && rand.IntN(n) >= sweepsPerInterval {
 		return r.ownRow()
 	}
 	return rows.Range{}
@@ -176,7 +176,7 @@
 
 // conditions returns a transaction that is done only while an entry's rows are as they were read. A write without an
 // answer may be carried out seconds later, when the entry's next life has registered at the same address.
-func (l *listing) conditions(a ident.Address) rows.Txn {
+func (l *listing) conditionalTxn(a ident.Address) rows.Txn {
 	condition := func(t rows.Table, row *rows.Row) rows.Condition {
 		c := rows.Condition{Key: rows.Key{Table: t, Name: string(a)}}
 		if row != nil {
@@ -223,16 +223,16 @@
 // Renew writes the entry's renewal and, if it is missing or another life's, its row; and it removes what others
 // have left behind, of the rows that it reads.
 func (r *Registrar) Renew(ctx context.Context) error {
-	present, err := r.read(ctx, r.scope())
+	present, err := r.read(ctx, r.readRange())
 	if err != nil {
 		return err
 	}
-	txn, err := r.own(&present)
+	txn, err := r.ownRowsTxn(&present)
 	if err != nil {
 		return err
 	}
 	for _, row := range present.renewals.Rows {
-		if row.Key.Name != string(r.address) && leftBehind(row, present.renewals.Now) {
+		if row.Key.Name != string(r.address) && isAbandoned(row, present.renewals.Now) {
 			txn.If = append(txn.If, rows.Condition{Key: row.Key, Version: row.Version})
 			txn.Remove = append(txn.Remove, row.Key, rows.Key{Table: Table, Name: row.Key.Name})
 			r.log.WithField("link", row.Key.Name).Info("member_removed")
@@ -243,7 +243,7 @@
 }
 
 // own returns the writes of the entry's own rows.
-func (r *Registrar) own(present *listing) (rows.Txn, error) {
+func (r *Registrar) ownRowsTxn(present *listing) (rows.Txn, error) {
 	mark, err := json.Marshal(renewal{present.renewals.Now.Milliseconds()})
 	if err != nil {
 		return rows.Txn{}, errors.Wrap(err, "members: encode")
@@ -261,7 +261,7 @@
 	if err != nil {
 		return rows.Txn{}, errors.Wrap(err, "members: encode")
 	}
-	txn := present.conditions(r.address)
+	txn := present.conditionalTxn(r.address)
 	txn.Put = []rows.Row{{Key: r.key(renewals), Value: mark}}
 	if row == nil || !bytes.Equal(row.Value, value) {
 		txn.Put = append(txn.Put, rows.Row{Key: r.key(Table), Value: value})
@@ -271,7 +271,7 @@
 
 // leftBehind tells whether a renewal is so old that its entry has surely gone. The store's clock is steady; one
 // that can't be read counts as old.
-func leftBehind(row rows.Row, now time.Duration) bool {
+func isAbandoned(row rows.Row, now time.Duration) bool {
 	var at renewal
 	if err := json.Unmarshal(row.Value, &at); err != nil {
 		return true
--- a/internal/link/session/session.go
+++ b/internal/link/session/session.go
@@ -25,7 +25,7 @@
 	// writeTimeout ends a session whose other side does not read.
 	writeTimeout = 3 * time.Second
 	// LongestGreeting bounds the first exchange where the other side may be standing still.
-	LongestGreeting = 3 * time.Second
+	MaxHandshake = 3 * time.Second
 	// maxFrame bounds a frame that is read, in bytes.
 	maxFrame = 64 << 20
 	// maxBatch bounds the messages that one frame takes.
@@ -55,9 +55,9 @@
 	mu    sync.Mutex
 	queue []*wire.Msg
 	// wake holds a token while the queue may have something, closed is closed with the session.
-	wake   chan struct{}
-	closed chan struct{}
-	once   sync.Once
+	wake      chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // Dialer opens a connection to a process; tests and the embedded set put delays and cuts into it.
@@ -71,7 +71,7 @@
 // Limits bound the beginning of a session.
 type Limits struct {
 	// Dial bounds the wait for a connection, Greet the exchange of hellos on it.
-	Dial, Greet time.Duration
+	Dial, Handshake time.Duration
 }
 
 // Dial connects to a process and exchanges hellos.
@@ -80,31 +80,31 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "link: dial")
 	}
-	return greet(conn, limits.Greet, hello)
+	return handshake(conn, limits.Handshake, hello)
 }
 
 // Accept takes a connection that another process dialled and exchanges hellos. The other side gives a greeting that takes too
 // long up, so that this one may wait.
 func Accept(conn net.Conn, hello *wire.Hello) (*Session, error) {
-	return greet(conn, LongestGreeting, hello)
+	return handshake(conn, MaxHandshake, hello)
 }
 
 // greet exchanges hellos on a new connection and starts to write.
-func greet(conn net.Conn, limit time.Duration, hello *wire.Hello) (*Session, error) {
+func handshake(conn net.Conn, limit time.Duration, hello *wire.Hello) (*Session, error) {
 	s := &Session{
 		conn: conn, reader: bufio.NewReaderSize(conn, bufferSize),
 		wake: make(chan struct{}, 1), closed: make(chan struct{}),
 	}
-	if err := s.exchange(limit, hello); err != nil {
+	if err := s.exchangeHellos(limit, hello); err != nil {
 		s.Close()
 		return nil, err
 	}
-	go s.write()
+	go s.writeLoop()
 	return s, nil
 }
 
 // exchange sends one hello and reads the other side's, within a limit.
-func (s *Session) exchange(limit time.Duration, hello *wire.Hello) error {
+func (s *Session) exchangeHellos(limit time.Duration, hello *wire.Hello) error {
 	if err := s.conn.SetDeadline(time.Now().Add(limit)); err != nil {
 		return errors.Wrap(err, "link: deadline")
 	}
@@ -112,7 +112,7 @@
 	if _, err := protodelim.MarshalTo(s.conn, first); err != nil {
 		return errors.Wrap(err, "link: send hello")
 	}
-	f, err := s.read()
+	f, err := s.readFrame()
 	if err != nil {
 		return errors.Wrap(err, "link: read hello")
 	}
@@ -124,7 +124,7 @@
 }
 
 // read reads one frame.
-func (s *Session) read() (*wire.Frame, error) {
+func (s *Session) readFrame() (*wire.Frame, error) {
 	f := &wire.Frame{}
 	err := protodelim.UnmarshalOptions{MaxSize: maxFrame}.UnmarshalFrom(s.reader, f)
 	return f, err
@@ -151,7 +151,7 @@
 func (s *Session) Receive(handle func(msgs []*wire.Msg)) error {
 	defer s.Close()
 	for {
-		f, err := s.read()
+		f, err := s.readFrame()
 		if err != nil {
 			return errors.Wrap(err, "link: read")
 		}
@@ -163,14 +163,14 @@
 
 // Close ends the session; what is queued is dropped.
 func (s *Session) Close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.closed)
 		s.conn.Close() //nolint:errcheck // the session is over either way
 	})
 }
 
 // write sends whatever has gathered while the last write was under way. No timer holds a message back.
-func (s *Session) write() {
+func (s *Session) writeLoop() {
 	defer s.Close()
 	w := bufio.NewWriterSize(s.conn, bufferSize)
 	for {
@@ -182,7 +182,7 @@
 		// Let those who are about to send do so first: it costs no timer, and under load a frame then
 		// carries several messages.
 		runtime.Gosched()
-		for batch := s.take(); len(batch) > 0; batch = s.take() {
+		for batch := s.nextBatch(); len(batch) > 0; batch = s.nextBatch() {
 			if err := s.writeFrame(w, batch); err != nil {
 				return
 			}
@@ -209,7 +209,7 @@
 }
 
 // take removes from the queue what goes into the next frame.
-func (s *Session) take() []*wire.Msg {
+func (s *Session) nextBatch() []*wire.Msg {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := min(len(s.queue), maxBatch)
--- a/internal/link/session/session_test.go
+++ b/internal/link/session/session_test.go
@@ -15,7 +15,7 @@
 	"hillreel/internal/link/wire"
 )
 
-var limits = session.Limits{Dial: time.Second, Greet: time.Second}
+var limits = session.Limits{Dial: time.Second, Handshake: time.Second}
 
 func pair(t *testing.T) (dialled, accepted *session.Session) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -119,7 +119,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	defer ln.Close()
 	began := time.Now()
-	_, err = session.Dial(session.TCP, ln.Addr().String(), session.Limits{Dial: time.Second, Greet: 250 * time.Millisecond}, &wire.Hello{})
+	_, err = session.Dial(session.TCP, ln.Addr().String(), session.Limits{Dial: time.Second, Handshake: 250 * time.Millisecond}, &wire.Hello{})
 	qt.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), qt.IsTrue, qt.Commentf("%v", err))
 	qt.Assert(t, time.Since(began) < time.Second, qt.IsTrue)
 	mute, err := net.Dial("tcp", ln.Addr().String())
@@ -135,5 +135,5 @@
 		}
 	}
 	t.Logf("ended after %v", time.Since(began))
-	qt.Assert(t, time.Since(began) < session.LongestGreeting+time.Second, qt.IsTrue)
+	qt.Assert(t, time.Since(began) < session.MaxHandshake+time.Second, qt.IsTrue)
 }
--- a/internal/proof/soak/callers_test.go
+++ b/internal/proof/soak/callers_test.go
@@ -120,7 +120,7 @@
 	defer c.mu.Unlock()
 	var out []string
 	for _, j := range c.jobs {
-		begun, done := c.s.ledger.Job(j.id)
+		begun, done := c.s.ledger.JobCounts(j.id)
 		last, refused := 0, true
 		for _, a := range j.answers {
 			last = a
@@ -160,7 +160,7 @@
 		if strings.Contains(state, "failed") && !c.s.ledger.MayFail(j.id) {
 			out = append(out, fmt.Sprintf("job %s is shown as failed, and nothing of it has failed or crashed upstreams often enough", j.id))
 		}
-		if _, done := c.s.ledger.Job(j.id); strings.Contains(state, "completed") && done < j.tasks {
+		if _, done := c.s.ledger.JobCounts(j.id); strings.Contains(state, "completed") && done < j.tasks {
 			out = append(out, fmt.Sprintf("job %s is shown as complete with %d of %d tasks done", j.id, done, j.tasks))
 		}
 	}
--- a/internal/proof/soak/evacuate_test.go
+++ b/internal/proof/soak/evacuate_test.go
@@ -24,12 +24,12 @@
 		s.store.Evacuate(zone)
 		return "evacuate " + zone
 	case 3, 4, 5:
-		s.store.TakeBack(zone)
+		s.store.CancelEvacuation(zone)
 		return "take " + zone + " back"
 	case 6:
-		s.store.TakeBack(zone)
+		s.store.CancelEvacuation(zone)
 		s.store.Evacuate(zone)
-		s.store.Forget()
+		s.store.DropHistory()
 		return "take " + zone + " back, evacuate it again and forget the history"
 	}
 	s.store.Put("op", "evacuate/"+zone, []byte("\xff"))
@@ -39,7 +39,7 @@
 // leaveOneZone takes back all requests but one, and returns its zone.
 func (s *set) leaveOneZone(rng *rand.Rand) string {
 	for i := range zones {
-		s.store.TakeBack(zoneOf(i))
+		s.store.CancelEvacuation(zoneOf(i))
 	}
 	zone := zoneOf(rng.IntN(zones))
 	s.store.Evacuate(zone)
@@ -68,7 +68,7 @@
 	if n := s.startsIn(zone) - before; n > 0 {
 		return []string{fmt.Sprintf("%d starts in %s, which is evacuated", n, zone)}
 	}
-	s.store.TakeBack(zone)
+	s.store.CancelEvacuation(zone)
 	for until := time.Now().Add(cordonBound); s.startsIn(zone) == before; {
 		if time.Now().After(until) {
 			return []string{"nothing starts in " + zone + " after it was taken back"}
--- a/internal/proof/soak/resend_test.go
+++ b/internal/proof/soak/resend_test.go
@@ -192,8 +192,8 @@
 	span := time.Duration(100+rng.IntN(1900)) * time.Millisecond
 	switch rng.IntN(8) {
 	case 0, 1:
-		a.upstream.Break(standin.UpstreamFault{Late: span})
-		time.AfterFunc(span, func() { a.upstream.Break(standin.UpstreamFault{}) })
+		a.upstream.SetFault(standin.UpstreamFault{Delay: span})
+		time.AfterFunc(span, func() { a.upstream.SetFault(standin.UpstreamFault{}) })
 		return fmt.Sprintf("orders of %s are taken up %v late", a.name, span)
 	case 2, 3:
 		a.calls.set(span, false, false)
@@ -212,8 +212,8 @@
 		s.freeze(a, span)
 		return fmt.Sprintf("freeze %s %v", a.name, span)
 	}
-	a.upstream.Break(standin.UpstreamFault{Status: http.StatusBadGateway})
-	time.AfterFunc(span, func() { a.upstream.Break(standin.UpstreamFault{}) })
+	a.upstream.SetFault(standin.UpstreamFault{Status: http.StatusBadGateway})
+	time.AfterFunc(span, func() { a.upstream.SetFault(standin.UpstreamFault{}) })
 	return fmt.Sprintf("orders of %s are carried out and answered with errors for %v", a.name, span)
 }
 
@@ -347,7 +347,7 @@
 		c.submitImpatient(traffic)
 	}
 	c.wait.Wait()
-	problems := append(s.ledger.Broken(), c.check()...)
+	problems := append(s.ledger.Violations(), c.check()...)
 	t.Logf("seed %d: %d jobs, %v, faults: %s", r.seed, len(c.jobs), c.counts(), strings.Join(log, "; "))
 	if len(problems) > 0 {
 		s.keep(r.seed, problems...)
--- a/internal/proof/soak/set_test.go
+++ b/internal/proof/soak/set_test.go
@@ -191,7 +191,7 @@
 	p.calls = s.proxy(at(s.ip(6, i), portUpstream), at(ip, portUpstream))
 	p.beats = s.proxy(at(s.ip(7, i), portControl), at(ip, portControl))
 	p.upstream = standin.NewUpstream(standin.UpstreamOptions{
-		Name: upstreamName(i), Service: "publish", Agent: p.beats.address(), CPU: upstreamCPU, MemMB: 1000, Beat: 300 * time.Millisecond, Ledger: s.ledger,
+		Name: upstreamName(i), Service: "publish", Agent: p.beats.address(), CPU: upstreamCPU, MemMB: 1000, HeartbeatInterval: 300 * time.Millisecond, Ledger: s.ledger,
 	})
 	s.closers = append(s.closers, p.upstream.Close)
 	s.serve(s.listen(at(ip, portUpstream)), p.upstream.Handler())
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -121,7 +121,7 @@
 	}
 	left := s.leaveOneZone(operators)
 	c.wait.Wait()
-	problems := append(s.ledger.Broken(), c.check()...)
+	problems := append(s.ledger.Violations(), c.check()...)
 	rest := time.Now().Add(settle)
 	problems = append(problems, c.checkKept(rest)...)
 	for why := "?"; why != ""; {
@@ -131,9 +131,9 @@
 		}
 	}
 	problems = append(problems, s.checkEvacuated(left)...)
-	problems = append(problems, s.ledger.Broken()...)
+	problems = append(problems, s.ledger.Violations()...)
 	if !disturbs {
-		problems = append(problems, s.ledger.Overdone()...)
+		problems = append(problems, s.ledger.ExcessStarts()...)
 	}
 	t.Logf("seed %d: %v, faults: %s", seed, c.counts(), strings.Join(log, "; "))
 	if len(problems) > 0 {
@@ -212,7 +212,7 @@
 		return fmt.Sprintf("%s and its upstream start again after %v", a.name, down)
 	case 4, 5:
 		serves, late := time.Duration(500+rng.IntN(3000))*time.Millisecond, time.Duration(rng.IntN(1500))*time.Millisecond
-		a.upstream.Leave(serves, down, late)
+		a.upstream.DrainAndRestart(serves, down, late)
 		return fmt.Sprintf("the upstream of %s leaves after %v and is back %v later", a.name, serves, down)
 	case 6:
 		for _, p := range s.processes() {
@@ -224,7 +224,7 @@
 		return "all VMs lose power"
 	}
 	n := rng.IntN(16)
-	go a.upstream.BeatForeign(n)
+	go a.upstream.SendForeignHeartbeat(n)
 	return fmt.Sprintf("a foreign heartbeat at %s", a.name)
 }
 
@@ -278,17 +278,17 @@
 		later(func() { any.store.set(0, false, false) })
 		return fmt.Sprintf("cut %s from the store %v", any.name, span)
 	case 10:
-		f := []standin.Fault{{Silent: true}, {Busy: true}, {Lost: true}, {Slow: 300 * time.Millisecond}}[rng.IntN(4)]
-		s.store.Break(f)
-		later(func() { s.store.Break(standin.Fault{}); s.store.Forget() })
+		f := []standin.StoreFault{{Silent: true}, {Busy: true}, {LoseWriteAnswers: true}, {Delay: 300 * time.Millisecond}}[rng.IntN(4)]
+		s.store.SetFault(f)
+		later(func() { s.store.SetFault(standin.StoreFault{}); s.store.DropHistory() })
 		return fmt.Sprintf("store %+v %v, then its history is gone", f, span)
 	case 11:
 		a.upstream.Crash()
 		return "crash the upstream of " + a.name
 	case 12:
-		f := []standin.UpstreamFault{{Fail: true}, {Hang: true}, {Mute: true}, {Slow: 5}}[rng.IntN(4)]
-		a.upstream.Break(f)
-		later(func() { a.upstream.Break(standin.UpstreamFault{}) })
+		f := []standin.UpstreamFault{{Fail: true}, {Hang: true}, {Silent: true}, {Slowdown: 5}}[rng.IntN(4)]
+		a.upstream.SetFault(f)
+		later(func() { a.upstream.SetFault(standin.UpstreamFault{}) })
 		return fmt.Sprintf("upstream of %s %+v %v", a.name, f, span)
 	}
 	for _, p := range s.processes() {
--- a/internal/standin/embedded/config_test.go
+++ b/internal/standin/embedded/config_test.go
@@ -112,15 +112,15 @@
 func TestChangesAndTheStore(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		fault standin.Fault
+		fault standin.StoreFault
 		want  string
 	}{
-		{"busy", standin.Fault{Busy: true}, "not_run"},
-		{"answers lost", standin.Fault{Lost: true}, ""},
+		{"busy", standin.StoreFault{Busy: true}, "not_run"},
+		{"answers lost", standin.StoreFault{LoseWriteAnswers: true}, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			set := start(t, 1, 1)
-			set.Store.Break(test.fault)
+			set.Store.SetFault(test.fault)
 			status, out := operate(t, set.Entries[0].Metrics.Address(), embedded.Token, "PUT", "/v1/config/service/publish", "new", `{"max_tasks":5}`)
 			if test.want == "" {
 				// The change was made; reading it back tells.
--- a/internal/standin/embedded/cordon_test.go
+++ b/internal/standin/embedded/cordon_test.go
@@ -63,7 +63,7 @@
 	}{
 		{"by the platform's operator",
 			func(_ *testing.T, set *embedded.Set) { set.Store.Evacuate("zone-1") },
-			func(_ *testing.T, set *embedded.Set) { set.Store.TakeBack("zone-1") }},
+			func(_ *testing.T, set *embedded.Set) { set.Store.CancelEvacuation("zone-1") }},
 		{"by an object", func(t *testing.T, set *embedded.Set) {
 			status, out := operate(t, set.Entries[1].Metrics.Address(), embedded.Token, "PUT", "/v1/config/zone/zone-1", "new", `{"cordoned":true}`)
 			qt.Assert(t, status, qt.Equals, 200, qt.Commentf("%v", out))
@@ -73,33 +73,33 @@
 		}},
 		{"asked for, taken back and asked for again", func(_ *testing.T, set *embedded.Set) {
 			set.Store.Evacuate("zone-1")
-			set.Store.TakeBack("zone-1")
+			set.Store.CancelEvacuation("zone-1")
 			set.Store.Evacuate("zone-1")
-		}, func(_ *testing.T, set *embedded.Set) { set.Store.TakeBack("zone-1") }},
+		}, func(_ *testing.T, set *embedded.Set) { set.Store.CancelEvacuation("zone-1") }},
 		{"while the store has forgotten its history", func(_ *testing.T, set *embedded.Set) {
 			set.Store.Evacuate("zone-1")
-			set.Store.Forget()
+			set.Store.DropHistory()
 		}, func(_ *testing.T, set *embedded.Set) {
-			set.Store.TakeBack("zone-1")
-			set.Store.Forget()
+			set.Store.CancelEvacuation("zone-1")
+			set.Store.DropHistory()
 		}},
 		{"while the store was away", func(_ *testing.T, set *embedded.Set) {
-			set.Store.Break(standin.Fault{Busy: true})
+			set.Store.SetFault(standin.StoreFault{Busy: true})
 			set.Store.Evacuate("zone-1")
 			time.Sleep(300 * time.Millisecond)
-			set.Store.Break(standin.Fault{})
+			set.Store.SetFault(standin.StoreFault{})
 		}, func(_ *testing.T, set *embedded.Set) {
-			set.Store.Break(standin.Fault{Busy: true})
-			set.Store.TakeBack("zone-1")
+			set.Store.SetFault(standin.StoreFault{Busy: true})
+			set.Store.CancelEvacuation("zone-1")
 			time.Sleep(300 * time.Millisecond)
-			set.Store.Break(standin.Fault{})
+			set.Store.SetFault(standin.StoreFault{})
 		}},
 		{"beside rows of another writer", func(_ *testing.T, set *embedded.Set) {
 			set.Store.Put("op", "evacuate/", []byte("{}"))
 			set.Store.Put("op", "evacuate/zone-2", []byte("\xff"))
 			set.Store.Evacuate("zone-1")
 			set.Store.Put("hillreel_objects", "zone/zone-3", []byte("[]"))
-		}, func(_ *testing.T, set *embedded.Set) { set.Store.TakeBack("zone-1") }},
+		}, func(_ *testing.T, set *embedded.Set) { set.Store.CancelEvacuation("zone-1") }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			set := start(t, 2, 3)
@@ -158,7 +158,7 @@
 	qt.Assert(t, a.RetryAfterMs, qt.Equals, int64(5000))
 	after, _ := set.Ledger.Counts()
 	qt.Assert(t, after, qt.Equals, before)
-	set.Store.TakeBack("zone-2")
+	set.Store.CancelEvacuation("zone-2")
 	cordonedEverywhere(t, set, 2)
 	qt.Assert(t, startedAt(t, set), qt.Equals, [3]bool{false, true, false})
 }
@@ -172,16 +172,16 @@
 	_, err := set.StartEntry(1, "127.0.0.1:1") // nobody listens there
 	qt.Assert(t, err, qt.IsNil)
 	cordonedEverywhere(t, set, 1)
-	set.Store.Break(standin.Fault{Busy: true})
+	set.Store.SetFault(standin.StoreFault{Busy: true})
 	set.Store.Evacuate("zone-3") // nobody can hear of it yet
 	qt.Assert(t, set.StartAgent(2), qt.IsNil)
 	set.Agents[2].Node.SetSeeds([]string{set.Entries[0].Node.Address()})
 	time.Sleep(time.Second)
 	qt.Assert(t, set.Ledger.StartsAt(2), qt.Equals, 0)
-	set.Store.Break(standin.Fault{})
+	set.Store.SetFault(standin.StoreFault{})
 	cordonedEverywhere(t, set, 2)
 	qt.Assert(t, startedAt(t, set), qt.Equals, [3]bool{true, false, false})
-	set.Store.TakeBack("zone-3")
+	set.Store.CancelEvacuation("zone-3")
 	cordonedEverywhere(t, set, 1)
 	eventually(t, "the third agent", func() bool { return set.Entries[0].Node.UpstreamsReady() == 2 })
 	qt.Assert(t, startedAt(t, set), qt.Equals, allButTheSecond)
--- a/internal/standin/embedded/crash_test.go
+++ b/internal/standin/embedded/crash_test.go
@@ -33,7 +33,7 @@
 				return err == nil && a.State == verdict.Failed
 			})
 		}
-		begun, _ := set.Ledger.Job(id)
+		begun, _ := set.Ledger.JobCounts(id)
 		for range 4 {
 			a, err := c.Submit(context.Background(), id, bad)
 			qt.Assert(t, err, qt.IsNil)
@@ -44,10 +44,10 @@
 		}
 		qt.Assert(t, <-sound, qt.DeepEquals, map[api.State]int{verdict.Complete: 30})
 		time.Sleep(100 * time.Millisecond)
-		after, done := set.Ledger.Job(id)
+		after, done := set.Ledger.JobCounts(id)
 		qt.Assert(t, after, qt.Equals, begun)
 		qt.Assert(t, done, qt.Equals, 0)
-		qt.Assert(t, set.Ledger.Overdone(), qt.HasLen, 0)
+		qt.Assert(t, set.Ledger.ExcessStarts(), qt.HasLen, 0)
 		qt.Assert(t, set.Ledger.MayFail(id), qt.IsTrue)
 		t.Logf("keep %v: the task was started %d times", keep, begun)
 	}
--- a/internal/standin/embedded/embedded.go
+++ b/internal/standin/embedded/embedded.go
@@ -179,7 +179,7 @@
 	log := s.o.Log.WithFields(logrus.Fields{"role": "entry", "node": set.Node.Name})
 	p, err := entry.New(set, entry.Deps{
 		Store: s.client(set), Config: platform.ConfigKey, Cordons: platform.Cordons, Decode: platform.ReadConfig, Log: log,
-		Front: func(n *node.Node) http.Handler { return platform.NewFront(n, int64(set.Entry.MaxBody), log) },
+		Front: func(n *node.Node) http.Handler { return platform.NewClientHandler(n, int64(set.Entry.MaxBody), log) },
 	})
 	if err != nil {
 		return nil, err
@@ -207,8 +207,8 @@
 	log := s.o.Log.WithFields(logrus.Fields{"role": "agent", "node": set.Node.Name})
 	u := standin.NewUpstream(standin.UpstreamOptions{
 		Name: fmt.Sprintf("upstream-%d", i), Service: string(s.o.Service), Agent: string(s.through(PathBeats, set.Agent.Control)),
-		CPU: s.o.Cores * 1000, MemMB: 64 << 10, Labels: []string{fmt.Sprintf("rack-%d", i/3)}, Beat: 200 * time.Millisecond,
-		Ledger: s.Ledger, Unborn: s.o.Unborn,
+		CPU: s.o.Cores * 1000, MemMB: 64 << 10, Labels: []string{fmt.Sprintf("rack-%d", i/3)}, HeartbeatInterval: 200 * time.Millisecond,
+		Ledger: s.Ledger, OmitBorn: s.o.Unborn,
 	})
 	s.stops = append(s.stops, u.Close)
 	s.Upstreams = append(s.Upstreams, u)
@@ -218,7 +218,7 @@
 	calls := platform.NewUpstream(ident.Address(s.through(PathUpstream, set.Agent.Upstream)), set.Agent.Connections, set.Agent.CallTimeout)
 	p, err := agent.New(set, agent.Deps{
 		Store: s.client(set), Upstream: calls, Cordons: platform.Cordons, Dial: session.TCP, Log: log,
-		Heartbeats: func(n *agentnode.Node) http.Handler { return platform.Beats(n, s.o.Service, log) },
+		Heartbeats: func(n *agentnode.Node) http.Handler { return platform.NewHeartbeatHandler(n, s.o.Service, log) },
 	})
 	if err != nil {
 		return err
--- a/internal/standin/embedded/embedded_test.go
+++ b/internal/standin/embedded/embedded_test.go
@@ -29,7 +29,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() {
 		set.Stop()
-		qt.Assert(t, set.Ledger.Broken(), qt.HasLen, 0)
+		qt.Assert(t, set.Ledger.Violations(), qt.HasLen, 0)
 	})
 	return set
 }
@@ -83,16 +83,16 @@
 		fault func(s *embedded.Set)
 	}{
 		{"nothing", func(*embedded.Set) {}},
-		{"store silent", func(s *embedded.Set) { s.Store.Break(standin.Fault{Silent: true}) }},
-		{"store busy", func(s *embedded.Set) { s.Store.Break(standin.Fault{Busy: true}) }},
+		{"store silent", func(s *embedded.Set) { s.Store.SetFault(standin.StoreFault{Silent: true}) }},
+		{"store busy", func(s *embedded.Set) { s.Store.SetFault(standin.StoreFault{Busy: true}) }},
 		{"upstream crashes", func(s *embedded.Set) { s.Upstreams[0].Crash() }},
-		{"upstream fails all", func(s *embedded.Set) { s.Upstreams[0].Break(standin.UpstreamFault{Fail: true}) }},
-		{"upstream hangs", func(s *embedded.Set) { s.Upstreams[0].Break(standin.UpstreamFault{Hang: true}) }},
-		{"upstream mute", func(s *embedded.Set) { s.Upstreams[0].Break(standin.UpstreamFault{Mute: true}) }},
+		{"upstream fails all", func(s *embedded.Set) { s.Upstreams[0].SetFault(standin.UpstreamFault{Fail: true}) }},
+		{"upstream hangs", func(s *embedded.Set) { s.Upstreams[0].SetFault(standin.UpstreamFault{Hang: true}) }},
+		{"upstream mute", func(s *embedded.Set) { s.Upstreams[0].SetFault(standin.UpstreamFault{Silent: true}) }},
 		{"upstream drains", func(s *embedded.Set) { s.Upstreams[0].Drain() }},
 		{"late heartbeats of an earlier life", func(s *embedded.Set) {
 			for _, u := range s.Upstreams {
-				u.BeatOf(0)
+				u.SendHeartbeatAs(0)
 			}
 		}},
 		{"agent leaves", func(s *embedded.Set) { s.Agents[0].Node.Leave() }},
@@ -185,11 +185,11 @@
 // TestHistoryForgotten: when the store forgets its history, the whole table is read again.
 func TestHistoryForgotten(t *testing.T) {
 	set := start(t, 1, 1)
-	set.Store.Break(standin.Fault{Busy: true})
+	set.Store.SetFault(standin.StoreFault{Busy: true})
 	time.Sleep(100 * time.Millisecond)
 	set.Configure(2)
-	set.Store.Forget()
-	set.Store.Break(standin.Fault{})
+	set.Store.DropHistory()
+	set.Store.SetFault(standin.StoreFault{})
 	until := time.Now().Add(10 * time.Second)
 	for time.Now().Before(until) {
 		if set.Entries[0].Node.Routes().Version == 2 {
@@ -266,9 +266,9 @@
 		{"nothing goes wrong", 100, func(*embedded.Set) {}, nil, verdict.Complete},
 		{"its entry ends", 1500, func(set *embedded.Set) { set.Entries[0].Stop() }, nil, verdict.Complete},
 		{"the store is away", 1500, func(set *embedded.Set) {
-			set.Store.Break(standin.Fault{Silent: true})
+			set.Store.SetFault(standin.StoreFault{Silent: true})
 			time.Sleep(2500 * time.Millisecond)
-			set.Store.Break(standin.Fault{})
+			set.Store.SetFault(standin.StoreFault{})
 		}, nil, verdict.Complete},
 		{"an upstream crashes", 1000, func(set *embedded.Set) {
 			time.Sleep(300 * time.Millisecond)
--- a/internal/standin/embedded/orders_test.go
+++ b/internal/standin/embedded/orders_test.go
@@ -21,17 +21,17 @@
 	}{
 		{"carried out, and answered with a server's error", standin.UpstreamFault{Status: http.StatusInternalServerError}},
 		{"carried out, and answered by a gateway", standin.UpstreamFault{Status: http.StatusGatewayTimeout}},
-		{"taken up when the answer is not waited for any more", standin.UpstreamFault{Late: 400 * time.Millisecond}},
-		{"taken up when the lease in it is over", standin.UpstreamFault{Late: 2 * time.Second}},
+		{"taken up when the answer is not waited for any more", standin.UpstreamFault{Delay: 400 * time.Millisecond}},
+		{"taken up when the lease in it is over", standin.UpstreamFault{Delay: 2 * time.Second}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			set := start(t, 2, 3)
 			c := newClient(t, set)
-			set.Upstreams[0].Break(test.fault)
+			set.Upstreams[0].SetFault(test.fault)
 			qt.Assert(t, submitAll(t, c, 20, job(100, `{"run_ms":100}`)), qt.DeepEquals, map[api.State]int{verdict.Complete: 20})
-			set.Upstreams[0].Break(standin.UpstreamFault{})
-			time.Sleep(2*test.fault.Late + 100*time.Millisecond) // what is taken up late
+			set.Upstreams[0].SetFault(standin.UpstreamFault{})
+			time.Sleep(2*test.fault.Delay + 100*time.Millisecond) // what is taken up late
 			qt.Assert(t, submitAll(t, c, 6, job(100, `{"run_ms":100}`)), qt.DeepEquals, map[api.State]int{verdict.Complete: 6})
 		})
 	}
--- a/internal/standin/embedded/restart_test.go
+++ b/internal/standin/embedded/restart_test.go
@@ -74,20 +74,20 @@
 	}{
 		{"at once", func(u *standin.Upstream) { u.Restart(0) }},
 		{"after it was away", func(u *standin.Upstream) {
-			u.Break(standin.UpstreamFault{Mute: true})
+			u.SetFault(standin.UpstreamFault{Silent: true})
 			time.Sleep(2 * time.Second)
 			u.Restart(0)
-			u.Break(standin.UpstreamFault{})
+			u.SetFault(standin.UpstreamFault{})
 		}},
 		{"after a second, beside heartbeats of other writers", func(u *standin.Upstream) {
 			u.Restart(time.Second)
 			for n := range 16 {
-				u.BeatForeign(n)
+				u.SendForeignHeartbeat(n)
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
 		{"after it has left, and its word that it has ended comes late", func(u *standin.Upstream) {
-			u.Leave(500*time.Millisecond, 100*time.Millisecond, 500*time.Millisecond)
+			u.DrainAndRestart(500*time.Millisecond, 100*time.Millisecond, 500*time.Millisecond)
 			time.Sleep(1500 * time.Millisecond)
 		}},
 		{"twice", func(u *standin.Upstream) {
@@ -131,9 +131,9 @@
 			done := make(chan map[api.State]int, 1)
 			go func() { done <- submitAll(t, newClient(t, set), 6, job(600, `{"run_ms":600}`)) }()
 			time.Sleep(200 * time.Millisecond)
-			set.Upstreams[0].End(400 * time.Millisecond)
+			set.Upstreams[0].DeregisterThenCrash(400 * time.Millisecond)
 			qt.Assert(t, <-done, qt.DeepEquals, map[api.State]int{verdict.Complete: 6})
-			qt.Assert(t, set.Ledger.Broken(), qt.HasLen, 0)
+			qt.Assert(t, set.Ledger.Violations(), qt.HasLen, 0)
 		})
 	}
 }
--- a/internal/standin/embedded/silence_test.go
+++ b/internal/standin/embedded/silence_test.go
@@ -78,7 +78,7 @@
 			starts, _ := set.Ledger.Counts()
 			t.Logf("%d of %d runs lost, all done after %v", starts-2*jobs, 2*jobs, time.Since(began))
 			qt.Check(t, starts, qt.Equals, 2*jobs)
-			qt.Assert(t, set.Ledger.Broken(), qt.HasLen, 0)
+			qt.Assert(t, set.Ledger.Violations(), qt.HasLen, 0)
 		})
 	}
 }
