--- a/internal/link/codec/codec.go
+++ b/internal/link/codec/codec.go
@@ -1,4 +1,4 @@
-// Package codec turns what entries and agents tell each other into messages and back.
+// Package codec converts between the types of package fleet and the wire messages that entries and agents exchange.
 package codec
 
 import (
@@ -40,7 +40,7 @@
 	return &wire.Msg{Kind: &wire.Msg_Start{Start: m}}
 }
 
-// ReadOrder decodes an order. It fails where its text can't be decompressed.
+// ReadOrder decodes an order. It returns an error if the job's text can't be decompressed.
 func ReadOrder(m *wire.Start) (fleet.Order, error) {
 	spec := m.GetSpec()
 	if c := m.GetDeflatedSpec(); len(c) > 0 {
@@ -62,14 +62,14 @@
 	return o, nil
 }
 
-// Stop encodes the wish to stop a run; why is fleet.OnRequest or fleet.Moved.
-func Stop(r fleet.OrderedRun, why fleet.Reason) *wire.Msg {
+// Stop encodes a request to stop a run; reason is fleet.OnRequest or fleet.Moved.
+func Stop(r fleet.OrderedRun, reason fleet.Reason) *wire.Msg {
 	return &wire.Msg{Kind: &wire.Msg_Stop{Stop: &wire.Stop{
-		Job: uint64(r.Task.Job), Step: r.Task.Step, Index: r.Task.Index, Run: uint32(r.Run), Id: uint64(r.ID), Moved: why == fleet.Moved,
+		Job: uint64(r.Task.Job), Step: r.Task.Step, Index: r.Task.Index, Run: uint32(r.Run), Id: uint64(r.ID), Moved: reason == fleet.Moved,
 	}}}
 }
 
-// ReadStop decodes the wish to stop a run, and why.
+// ReadStop decodes a request to stop a run, and its reason.
 func ReadStop(m *wire.Stop) (fleet.OrderedRun, fleet.Reason) {
 	r := readOrderedRun(m)
 	if m.GetMoved() {
@@ -112,14 +112,14 @@
 	return u
 }
 
-// Room encodes what an upstream can take.
+// Room encodes an upstream's free resources and state.
 func Room(r fleet.Room) *wire.Msg {
 	return &wire.Msg{Kind: &wire.Msg_Room{Room: &wire.Room{
 		Free: resources(r.Free), Seq: r.Seq, ClockUs: r.Clock.Microseconds(), State: string(r.State), Pace: r.Pace,
 	}}}
 }
 
-// ReadRoom decodes what an upstream can take.
+// ReadRoom decodes an upstream's free resources and state.
 func ReadRoom(m *wire.Room) fleet.Room {
 	return fleet.Room{
 		Free: readResources(m.GetFree()), Seq: m.GetSeq(), Clock: microseconds(m.GetClockUs()),
@@ -145,19 +145,19 @@
 	}
 }
 
-// runRef encodes the name of a run.
+// runRef encodes the reference to a run.
 func runRef(r fleet.RunRef) *wire.RunRef {
 	return &wire.RunRef{Job: uint64(r.Task.Job), Step: r.Task.Step, Index: r.Task.Index, Run: uint32(r.Run)}
 }
 
-// orderedRun encodes the name of a run that an entry has ordered.
+// orderedRun encodes the reference to a run that an entry has ordered, with its run ID.
 func orderedRun(r fleet.OrderedRun) *wire.RunRef {
 	m := runRef(r.RunRef)
 	m.Id = uint64(r.ID)
 	return m
 }
 
-// runRefs encodes names of runs.
+// runRefs encodes references to runs.
 func runRefs(in []fleet.RunRef) []*wire.RunRef {
 	var out []*wire.RunRef
 	for _, r := range in {
@@ -166,7 +166,7 @@
 	return out
 }
 
-// named is a message with the name of a run.
+// runRefMessage is a message that refers to a run.
 type runRefMessage interface {
 	GetJob() uint64
 	GetStep() uint32
@@ -174,23 +174,23 @@
 	GetRun() uint32
 }
 
-// readRunRef decodes the name of a run.
+// readRunRef decodes the reference to a run.
 func readRunRef(r runRefMessage) fleet.RunRef {
 	return fleet.RunRef{Task: job.TaskID{Job: job.ID(r.GetJob()), Step: r.GetStep(), Index: r.GetIndex()}, Run: job.Run(r.GetRun())}
 }
 
-// identified is a message with the name of a run that an entry has ordered.
+// orderedRunMessage is a message that refers to a run that an entry has ordered.
 type orderedRunMessage interface {
 	runRefMessage
 	GetId() uint64
 }
 
-// readOrderedRun decodes the name of a run that an entry has ordered.
+// readOrderedRun decodes the reference to a run that an entry has ordered.
 func readOrderedRun(r orderedRunMessage) fleet.OrderedRun {
 	return fleet.OrderedRun{RunRef: readRunRef(r), ID: fleet.RunID(r.GetId())}
 }
 
-// readRunRefs decodes names of runs.
+// readRunRefs decodes references to runs.
 func readRunRefs(in []*wire.RunRef) []fleet.RunRef {
 	out := make([]fleet.RunRef, len(in))
 	for i, r := range in {
@@ -199,7 +199,7 @@
 	return out
 }
 
-// Progress encodes how runs on a slow upstream get on.
+// Progress encodes the progress of runs on a slow upstream.
 func Progress(runs []fleet.Progress) *wire.Msg {
 	m := &wire.Progress{}
 	for _, r := range runs {
@@ -208,7 +208,7 @@
 	return &wire.Msg{Kind: &wire.Msg_Progress{Progress: m}}
 }
 
-// ReadProgress decodes how runs on a slow upstream get on.
+// ReadProgress decodes the progress of runs on a slow upstream.
 func ReadProgress(m *wire.Progress) []fleet.Progress {
 	out := make([]fleet.Progress, len(m.GetRuns()))
 	for i, r := range m.GetRuns() {
@@ -217,7 +217,7 @@
 	return out
 }
 
-// Resumed encodes which runs of an earlier session go on.
+// Resumed encodes which runs of an earlier session are still running.
 func Resumed(runs []fleet.OrderedRun) *wire.Msg {
 	m := &wire.Resumed{}
 	for _, r := range runs {
@@ -226,7 +226,7 @@
 	return &wire.Msg{Kind: &wire.Msg_Resumed{Resumed: m}}
 }
 
-// ReadResumed decodes which runs of an earlier session go on.
+// ReadResumed decodes which runs of an earlier session are still running.
 func ReadResumed(m *wire.Resumed) []fleet.OrderedRun {
 	out := make([]fleet.OrderedRun, len(m.GetRuns()))
 	for i, r := range m.GetRuns() {
@@ -235,17 +235,17 @@
 	return out
 }
 
-// Noted encodes that ends are stored or, with void, that they count for nothing.
+// Noted encodes that the ends of runs are stored or, with void, that they are ignored.
 func Noted(runs []fleet.RunRef, void bool) *wire.Msg {
 	return &wire.Msg{Kind: &wire.Msg_Noted{Noted: &wire.Noted{Void: void, Runs: runRefs(runs)}}}
 }
 
-// ReadNoted decodes which ends are stored, or count for nothing.
+// ReadNoted decodes which ends of runs are stored or, with void, ignored.
 func ReadNoted(m *wire.Noted) (runs []fleet.RunRef, void bool) {
 	return readRunRefs(m.GetRuns()), m.GetVoid()
 }
 
-// Ask encodes the question for ends of some jobs that nobody has noted.
+// Ask encodes the request, with a number, for the ends of some jobs' runs that are not known to be stored.
 func Ask(number uint64, jobs []job.ID) *wire.Msg {
 	m := &wire.Ask{Number: number}
 	for _, j := range jobs {
@@ -254,7 +254,7 @@
 	return &wire.Msg{Kind: &wire.Msg_Ask{Ask: m}}
 }
 
-// ReadAsk decodes the question for ends of some jobs.
+// ReadAsk decodes a request for the ends of some jobs' runs, and its number.
 func ReadAsk(m *wire.Ask) (number uint64, jobs []job.ID) {
 	for _, j := range m.GetJobs() {
 		jobs = append(jobs, job.ID(j))
@@ -262,15 +262,15 @@
 	return m.GetNumber(), jobs
 }
 
-// Asked encodes that all ends that a question is about have been told.
+// Asked encodes that all ends requested by the Ask message of this number have been sent.
 func Asked(number uint64) *wire.Msg {
 	return &wire.Msg{Kind: &wire.Msg_Asked{Asked: &wire.Asked{Number: number}}}
 }
 
-// Settled encodes that nothing remains of an entry's earlier sessions.
+// Settled encodes that no run of an entry's earlier sessions remains.
 func Settled() *wire.Msg { return &wire.Msg{Kind: &wire.Msg_Settled{Settled: &wire.Settled{}}} }
 
-// Config encodes a configuration that is passed on.
+// Config encodes a configuration that is forwarded; raw is its text as stored.
 func Config(v ident.ConfigVersion, raw []byte) *wire.Msg {
 	return &wire.Msg{Kind: &wire.Msg_Config{Config: &wire.Config{Version: uint64(v), Raw: raw}}}
 }
@@ -293,7 +293,7 @@
 	return s
 }
 
-// Peers encodes the entries that the sender knows.
+// Peers encodes the entries that the sender knows, and the services of which each wants more agents.
 func Peers(entries []fleet.Entry) *wire.Msg {
 	m := &wire.Peers{}
 	for _, e := range entries {
@@ -310,7 +310,7 @@
 	return &wire.Msg{Kind: &wire.Msg_Peers{Peers: m}}
 }
 
-// ReadPeers decodes them.
+// ReadPeers decodes the entries that the sender knows.
 func ReadPeers(m *wire.Peers) []fleet.Entry {
 	wants := make(map[string][]ident.Service)
 	for _, w := range m.GetWants() {
--- a/internal/link/codec/codec_test.go
+++ b/internal/link/codec/codec_test.go
@@ -13,7 +13,7 @@
 	"hillreel/internal/link/codec"
 )
 
-// TestRoundTrips: what one side says is what the other side hears.
+// TestRoundTrips guards against fields that are lost or changed between encoding and decoding a message.
 func TestRoundTrips(t *testing.T) {
 	task := job.TaskID{Job: 0x5c0e7a21d94b36f8, Step: 1, Index: 17}
 	for _, o := range []fleet.Order{
@@ -40,10 +40,10 @@
 	u := fleet.Upstream{ID: "i-1", Service: "publish", Labels: []job.Label{"a", "r1-3"}, Total: job.Resources{CPU: 16000, Mem: 65536}}
 	qt.Assert(t, codec.ReadUpstream(codec.Upstream(u).GetUpstream()), qt.DeepEquals, u)
 	ref := fleet.OrderedRun{RunRef: fleet.RunRef{Task: task, Run: 4}, ID: 77}
-	for _, why := range []fleet.Reason{fleet.OnRequest, fleet.Moved} {
-		gotRef, gotWhy := codec.ReadStop(codec.Stop(ref, why).GetStop())
+	for _, reason := range []fleet.Reason{fleet.OnRequest, fleet.Moved} {
+		gotRef, gotReason := codec.ReadStop(codec.Stop(ref, reason).GetStop())
 		qt.Assert(t, gotRef, qt.Equals, ref)
-		qt.Assert(t, gotWhy, qt.Equals, why)
+		qt.Assert(t, gotReason, qt.Equals, reason)
 	}
 	refs := []fleet.OrderedRun{ref, {RunRef: fleet.RunRef{Task: job.TaskID{Job: 1}, Run: 1}}}
 	qt.Assert(t, codec.ReadResumed(codec.Resumed(refs).GetResumed()), qt.DeepEquals, refs)
@@ -60,8 +60,8 @@
 	gotCrashes, gotRefuted := codec.ReadCrashes(codec.Crashes(crashes, refuted).GetCrashes())
 	qt.Assert(t, gotCrashes, qt.DeepEquals, crashes)
 	qt.Assert(t, gotRefuted, qt.DeepEquals, refuted)
-	alive := fleet.KeepAlive{Echo: 1500 * time.Microsecond, Config: 12, Pace: 1.5, Follows: true}
-	qt.Assert(t, codec.ReadPing(codec.Ping(alive).GetPing()), qt.DeepEquals, alive)
+	keepAlive := fleet.KeepAlive{Echo: 1500 * time.Microsecond, Config: 12, Pace: 1.5, Follows: true}
+	qt.Assert(t, codec.ReadPing(codec.Ping(keepAlive).GetPing()), qt.DeepEquals, keepAlive)
 	entries := []fleet.Entry{{Address: "10.0.0.1:7720"}, {Address: "10.0.0.2:7720", Wants: []ident.Service{"a", "b"}}}
 	qt.Assert(t, codec.ReadPeers(codec.Peers(entries).GetPeers()), qt.DeepEquals, entries)
 }
--- a/internal/link/codec/crash.go
+++ b/internal/link/codec/crash.go
@@ -7,17 +7,17 @@
 	"hillreel/internal/link/wire"
 )
 
-// life encodes a life of an upstream.
+// life encodes one life of an upstream: its ID and the start time of its process.
 func life(l ident.UpstreamLife) *wire.Life {
 	return &wire.Life{Id: string(l.ID), BornMs: int64(l.Born)}
 }
 
-// readLife decodes one.
+// readLife decodes one life of an upstream.
 func readLife(m *wire.Life) ident.UpstreamLife {
 	return ident.UpstreamLife{ID: ident.UpstreamID(m.GetId()), Born: ident.Born(m.GetBornMs())}
 }
 
-// Crashes encodes crashes under tasks, and what refutes some.
+// Crashes encodes crashes of upstreams during tasks, and refutations of earlier crash reports.
 func Crashes(crashes []fleet.Crash, refuted []fleet.Refutation) *wire.Msg {
 	m := &wire.Crashes{}
 	for _, c := range crashes {
@@ -32,7 +32,7 @@
 	return &wire.Msg{Kind: &wire.Msg_Crashes{Crashes: m}}
 }
 
-// ReadCrashes decodes them.
+// ReadCrashes decodes crashes and refutations.
 func ReadCrashes(m *wire.Crashes) (crashes []fleet.Crash, refuted []fleet.Refutation) {
 	for _, c := range m.GetCrashes() {
 		crashes = append(crashes, fleet.Crash{
