--- a/internal/link/deflate/deflate.go
+++ b/internal/link/deflate/deflate.go
@@ -1,8 +1,8 @@
 // Package deflate compresses texts for the links between entries and agents (RFC 1951).
 //
-// A job's text goes to each agent that gets one of its tasks: a kilobyte takes 4 ms on a link of 2 Mbit/s. Texts of letters drawn at
-// random shrink to 0.53 of their length, which is the least that can be expected; compressing 1.2 kB takes 9 us on a
-// quiet machine and 12 us on a busy one, decompressing them 10 and 17 us (BenchmarkDeflate).
+// A job's text is sent to each agent that gets one of its tasks, and one kilobyte takes 4 ms on a link of 2 Mbit/s. Texts of random
+// letters, the worst case expected, shrink to 0.53 of their length. Compressing 1.2 kB takes 9 us on an idle machine and 12 us on a
+// busy one; decompressing takes 10 us and 17 us (BenchmarkDeflate).
 package deflate
 
 import (
@@ -15,17 +15,18 @@
 )
 
 const (
-	// least is from how many bytes on a text is compressed: a shorter one fits into the packet that its order takes anyway.
+	// minText is the length in bytes of the shortest text that is compressed. A shorter text fits into the packet that carries its
+	// order anyway.
 	minText = 200
-	// MaxText bounds a text that is compressed, in bytes: sixteen times the 4,000 that the platform's callers may send. It keeps a
-	// damaged message from taking an agent's memory.
+	// MaxText is the length in bytes of the longest text that is compressed: sixteen times the 4,000 bytes that the platform's callers
+	// may send. The limit prevents a damaged message from exhausting an agent's memory.
 	MaxText = 64 << 10
 )
 
 // ErrTooLong is returned for a text of more than MaxText bytes.
 var ErrTooLong = errors.Errorf("deflate: the text has more than %d bytes", MaxText)
 
-// writers and readers are used again: a new writer takes over half a megabyte.
+// writers and readers are pooled because a new writer allocates more than half a megabyte.
 var (
 	writers = sync.Pool{New: newWriter}
 	readers = sync.Pool{New: func() any { return flate.NewReader(nil) }}
@@ -39,7 +40,7 @@
 	return w
 }
 
-// Compress returns the compressed text, or nil where that gains nothing.
+// Compress returns the compressed text. It returns nil if the text is shorter than 200 bytes, longer than MaxText, or would not shrink.
 func Compress(text string) []byte {
 	if len(text) < minText || len(text) > MaxText {
 		return nil
@@ -50,7 +51,7 @@
 	out.Grow(len(text))
 	w.Reset(&out)
 	if _, err := io.WriteString(w, text); err != nil {
-		return nil // a buffer takes everything
+		return nil // writing to a buffer never fails
 	}
 	if err := w.Close(); err != nil || out.Len() >= len(text) {
 		return nil
@@ -58,7 +59,8 @@
 	return out.Bytes()
 }
 
-// Decompress returns the text that was compressed. It fails for what is not a whole compressed text, and with ErrTooLong.
+// Decompress returns the text that was compressed. It returns an error if b is not a complete compressed text, and ErrTooLong if the
+// text is longer than MaxText.
 func Decompress(b []byte) (string, error) {
 	r := readers.Get().(io.ReadCloser)
 	defer readers.Put(r)
--- a/internal/link/deflate/deflate_test.go
+++ b/internal/link/deflate/deflate_test.go
@@ -13,8 +13,8 @@
 	"hillreel/internal/link/deflate"
 )
 
-// letters draws a text of sixteen letters, four bits in each.
-func letters(n int) string {
+// randomLetters returns n random letters out of sixteen, so each letter carries four bits.
+func randomLetters(n int) string {
 	rng := rand.New(rand.NewPCG(1, 1))
 	b := make([]byte, n)
 	for i := range b {
@@ -23,7 +23,7 @@
 	return string(b)
 }
 
-// TestTexts: what was compressed comes back, and what would gain nothing is left as it is.
+// TestTexts guards against texts that change between Compress and Decompress, and against compressing texts that would not shrink.
 func TestTexts(t *testing.T) {
 	noise := make([]byte, 4000)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -32,25 +32,25 @@
 	}
 	for _, test := range []struct {
 		name, text string
-		// most bounds the compressed length, as a part of the text's; zero is not compressed.
-		most float64
+		// maxRatio bounds the compressed length as a fraction of the text's length; with zero the text must not be compressed.
+		maxRatio float64
 	}{
 		{"empty", "", 0},
-		{"short", letters(199), 0},
-		{"letters at random", letters(1200), 0.56},
-		{"the longest of the platform", letters(4000), 0.56},
+		{"short", randomLetters(199), 0},
+		{"random letters", randomLetters(1200), 0.56},
+		{"longest text of the platform", randomLetters(4000), 0.56},
 		{"like an order", strings.Repeat(`{"episode":"s04e11","slot":3},`, 40), 0.1},
-		{"bytes at random", string(noise), 0},
-		{"the longest", strings.Repeat("x", deflate.MaxText), 0.1},
+		{"random bytes", string(noise), 0},
+		{"longest", strings.Repeat("x", deflate.MaxText), 0.1},
 		{"too long", strings.Repeat("x", deflate.MaxText+1), 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := deflate.Compress(test.text)
-			if test.most == 0 {
+			if test.maxRatio == 0 {
 				qt.Assert(t, c, qt.IsNil)
 				return
 			}
-			qt.Assert(t, float64(len(c)) <= test.most*float64(len(test.text)), qt.IsTrue, qt.Commentf("%d of %d", len(c), len(test.text)))
+			qt.Assert(t, float64(len(c)) <= test.maxRatio*float64(len(test.text)), qt.IsTrue, qt.Commentf("%d of %d", len(c), len(test.text)))
 			got, err := deflate.Decompress(c)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, got, qt.Equals, test.text)
@@ -58,9 +58,10 @@
 	}
 }
 
-// TestDamaged: what is no compressed text is refused, also one that would fill the memory, and the next text is read well.
+// TestDamaged guards against damaged input, also a small input that would expand to exhaust the memory. Decompress must return an error,
+// and its pooled reader must decode the next text correctly.
 func TestDamaged(t *testing.T) {
-	whole := deflate.Compress(letters(1200))
+	complete := deflate.Compress(randomLetters(1200))
 	var huge bytes.Buffer
 	w, err := flate.NewWriter(&huge, flate.BestSpeed)
 	qt.Assert(t, err, qt.IsNil)
@@ -72,24 +73,24 @@
 		b    []byte
 		want string
 	}{
-		{"nothing", nil, ".*EOF"},
-		{"cut off", whole[:len(whole)/2], ".*EOF"},
-		{"something else", []byte{0xff, 0xff, 0xff}, ".*"},
+		{"empty", nil, ".*EOF"},
+		{"cut off", complete[:len(complete)/2], ".*EOF"},
+		{"not compressed", []byte{0xff, 0xff, 0xff}, ".*"},
 		{"too long", huge.Bytes(), "deflate: the text has more than 65536 bytes"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := deflate.Decompress(test.b)
 			qt.Assert(t, err, qt.ErrorMatches, test.want)
-			got, err := deflate.Decompress(whole)
+			got, err := deflate.Decompress(complete)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, got, qt.Equals, letters(1200))
+			qt.Assert(t, got, qt.Equals, randomLetters(1200))
 		})
 	}
 }
 
-// BenchmarkDeflate: the mean text of the podcast producers, 1.2 kB.
+// BenchmarkDeflate uses a text of 1.2 kB, the mean length of the podcast producers' texts.
 func BenchmarkDeflate(b *testing.B) {
-	text := letters(1200)
+	text := randomLetters(1200)
 	c := deflate.Compress(text)
 	b.Run("compress", func(b *testing.B) {
 		for b.Loop() {
