--- a/internal/link/session/session.go
+++ b/internal/link/session/session.go
@@ -1,10 +1,8 @@
-// Package session carries messages between two hillreel processes: protobuf frames, each with its length, on one
-// TCP connection. Messages arrive in the order in which they were sent, or the session ends; nothing is lost in
-// the middle.
+// Package session carries messages between two hillreel processes as length-prefixed protobuf frames on one TCP
+// connection. Messages arrive in the order in which they were sent, without gaps, until the session ends.
 //
-// Messages of all kinds that wait while a write is under way go out together as one frame. The idea of
-// mixing kinds in a frame is that of the pfsync redesign; docs/MEASUREMENTS.md has the figures, docs/DESIGN.md says
-// why no multiplexer is used.
+// Messages of all kinds that are queued during a write go out together as the next frame, as in the redesign of
+// pfsync. docs/MEASUREMENTS.md has measurements, and docs/DESIGN.md explains why no multiplexer is used.
 package session
 
 import (
@@ -22,21 +20,21 @@
 )
 
 const (
-	// writeTimeout ends a session whose other side does not read.
+	// writeTimeout bounds the write of one frame; it ends a session whose remote side does not read.
 	writeTimeout = 3 * time.Second
-	// LongestGreeting bounds the first exchange where the other side may be standing still.
+	// MaxHandshake is the longest time limit for the exchange of hellos, for a remote process that may be paused.
 	MaxHandshake = 3 * time.Second
-	// maxFrame bounds a frame that is read, in bytes.
+	// maxFrame is the largest frame that is read, in bytes.
 	maxFrame = 64 << 20
-	// maxBatch bounds the messages that one frame takes.
+	// maxBatch is the most messages in one frame.
 	maxBatch = 512
-	// maxQueue ends a session whose sender is that many messages ahead.
+	// maxQueue is the most messages that may wait to be written; one more ends the session.
 	maxQueue = 200_000
-	// bufferSize is that of each direction's buffer; an entry holds two for each agent of its region.
+	// bufferSize is the size of each direction's buffer, in bytes. An entry holds two buffers for each agent of its region.
 	bufferSize = 8 << 10
 )
 
-// The traffic of this process on all links since it started, as metrics show it.
+// Metrics: the traffic of this process on all links since it started.
 var (
 	framesOut   = expvar.NewInt("link_frames_out")
 	messagesOut = expvar.NewInt("link_messages_out")
@@ -45,32 +43,32 @@
 	messagesIn  = expvar.NewInt("link_messages_in")
 )
 
-// Session is one link to another process.
+// Session is a connection to another process, after the exchange of hellos.
 type Session struct {
 	conn   net.Conn
 	reader *bufio.Reader
-	// Remote is the other side's first message.
+	// Remote is the hello of the remote process.
 	Remote *wire.Hello
 
 	mu    sync.Mutex
 	queue []*wire.Msg
-	// wake holds a token while the queue may have something, closed is closed with the session.
+	// wake holds a token while the queue may not be empty. closed is closed when the session is.
 	wake      chan struct{}
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// Dialer opens a connection to a process; tests and the embedded set put delays and cuts into it.
+// Dialer opens a connection to a process. Tests and the embedded set use dialers that delay and cut connections.
 type Dialer func(address string, timeout time.Duration) (net.Conn, error)
 
-// TCP is the Dialer of a real process.
+// TCP is the Dialer that the programs use.
 func TCP(address string, timeout time.Duration) (net.Conn, error) {
 	return net.DialTimeout("tcp", address, timeout)
 }
 
-// Limits bound the beginning of a session.
+// Limits bound the time to open a session.
 type Limits struct {
-	// Dial bounds the wait for a connection, Greet the exchange of hellos on it.
+	// Dial bounds the wait for a connection, Handshake the exchange of hellos.
 	Dial, Handshake time.Duration
 }
 
@@ -83,13 +81,13 @@
 	return handshake(conn, limits.Handshake, hello)
 }
 
-// Accept takes a connection that another process dialled and exchanges hellos. The other side gives a greeting that takes too
-// long up, so that this one may wait.
+// Accept exchanges hellos on a connection that another process has dialled. It waits for up to MaxHandshake, because the dialling
+// side gives up a slow handshake by itself.
 func Accept(conn net.Conn, hello *wire.Hello) (*Session, error) {
 	return handshake(conn, MaxHandshake, hello)
 }
 
-// greet exchanges hellos on a new connection and starts to write.
+// handshake exchanges hellos on a new connection, within limit, and starts the goroutine that writes.
 func handshake(conn net.Conn, limit time.Duration, hello *wire.Hello) (*Session, error) {
 	s := &Session{
 		conn: conn, reader: bufio.NewReaderSize(conn, bufferSize),
@@ -103,7 +101,7 @@
 	return s, nil
 }
 
-// exchange sends one hello and reads the other side's, within a limit.
+// exchangeHellos sends a hello and reads the remote process's, within limit.
 func (s *Session) exchangeHellos(limit time.Duration, hello *wire.Hello) error {
 	if err := s.conn.SetDeadline(time.Now().Add(limit)); err != nil {
 		return errors.Wrap(err, "link: deadline")
@@ -123,15 +121,15 @@
 	return errors.Wrap(s.conn.SetDeadline(time.Time{}), "link: deadline")
 }
 
-// read reads one frame.
+// readFrame reads one frame.
 func (s *Session) readFrame() (*wire.Frame, error) {
 	f := &wire.Frame{}
 	err := protodelim.UnmarshalOptions{MaxSize: maxFrame}.UnmarshalFrom(s.reader, f)
 	return f, err
 }
 
-// Send queues a message and never blocks. On a session that has ended the message is dropped; one that
-// can't keep up is ended, because a hole in the order would break what its users rely on.
+// Send queues a message and never blocks. If the session has ended, the message is dropped. If the queue exceeds maxQueue, the session
+// is closed: its users rely on an order without gaps, so no single message may be dropped.
 func (s *Session) Send(m *wire.Msg) {
 	s.mu.Lock()
 	s.queue = append(s.queue, m)
@@ -147,7 +145,7 @@
 	}
 }
 
-// Receive calls handle for each frame until the session ends, and returns why it ended.
+// Receive calls handle for each frame until the session ends, and returns the error that ended it.
 func (s *Session) Receive(handle func(msgs []*wire.Msg)) error {
 	defer s.Close()
 	for {
@@ -161,15 +159,15 @@
 	}
 }
 
-// Close ends the session; what is queued is dropped.
+// Close ends the session and drops the queued messages.
 func (s *Session) Close() {
 	s.closeOnce.Do(func() {
 		close(s.closed)
-		s.conn.Close() //nolint:errcheck // the session is over either way
+		s.conn.Close() //nolint:errcheck // the session has ended either way
 	})
 }
 
-// write sends whatever has gathered while the last write was under way. No timer holds a message back.
+// writeLoop writes, as soon as a write has finished, the messages that were queued during it. No timer delays a message.
 func (s *Session) writeLoop() {
 	defer s.Close()
 	w := bufio.NewWriterSize(s.conn, bufferSize)
@@ -179,8 +177,8 @@
 			return
 		case <-s.wake:
 		}
-		// Let those who are about to send do so first: it costs no timer, and under load a frame then
-		// carries several messages.
+		// Let goroutines that are about to send do so first. This needs no timer, and under load a frame then carries several
+		// messages.
 		runtime.Gosched()
 		for batch := s.nextBatch(); len(batch) > 0; batch = s.nextBatch() {
 			if err := s.writeFrame(w, batch); err != nil {
@@ -208,7 +206,7 @@
 	return nil
 }
 
-// take removes from the queue what goes into the next frame.
+// nextBatch removes the messages of the next frame from the queue and returns them.
 func (s *Session) nextBatch() []*wire.Msg {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/link/session/session_test.go
+++ b/internal/link/session/session_test.go
@@ -17,6 +17,7 @@
 
 var limits = session.Limits{Dial: time.Second, Handshake: time.Second}
 
+// pair returns both ends of a session over TCP.
 func pair(t *testing.T) (dialled, accepted *session.Session) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -48,7 +49,7 @@
 		b.Receive(func(msgs []*wire.Msg) {
 			for _, m := range msgs {
 				if got := int64(m.GetStart().GetSeq()); got != next {
-					t.Errorf("message %d comes where %d should", got, next)
+					t.Errorf("got message %d, want %d", got, next)
 				}
 				next++
 			}
@@ -63,37 +64,38 @@
 	qt.Assert(t, <-done, qt.Equals, int64(n))
 }
 
-func TestOtherSideNotices(t *testing.T) {
+// TestRemoteCloseEndsReceive guards against a Receive that goes on after the remote side has closed the session.
+func TestRemoteCloseEndsReceive(t *testing.T) {
 	a, b := pair(t)
 	ended := make(chan error, 1)
 	go func() { ended <- b.Receive(func([]*wire.Msg) {}) }()
 	a.Close()
 	qt.Assert(t, <-ended, qt.IsNotNil)
-	a.Send(&wire.Msg{}) // dropped, and no panic
+	a.Send(&wire.Msg{}) // must be dropped without a panic
 }
 
-// TestStrangersAreRefused: a peer that speaks something else gets no session.
-func TestStrangersAreRefused(t *testing.T) {
+// TestOtherProtocolsAreRefused guards against sessions with peers that speak another protocol.
+func TestOtherProtocolsAreRefused(t *testing.T) {
 	for _, first := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x00"} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		qt.Assert(t, err, qt.IsNil)
-		near, err := net.Dial("tcp", ln.Addr().String())
+		dialled, err := net.Dial("tcp", ln.Addr().String())
 		qt.Assert(t, err, qt.IsNil)
-		far, err := ln.Accept()
+		accepted, err := ln.Accept()
 		qt.Assert(t, err, qt.IsNil)
 		ln.Close()
-		io.WriteString(near, first)
-		_, err = session.Accept(far, &wire.Hello{})
+		io.WriteString(dialled, first)
+		_, err = session.Accept(accepted, &wire.Hello{})
 		qt.Assert(t, err, qt.IsNotNil)
-		near.Close()
+		dialled.Close()
 	}
 }
 
-// TestCloseEndsBlockedReader: a session that is closed while its reader waits ends that reader at once, without
-// anybody busy-waiting meanwhile. With one processor, a busy reader kept the closing goroutine from running.
+// TestCloseEndsBlockedReader guards against a reader that busy-waits: with one processor, it keeps the goroutine that closes the session
+// from running. Close must end a waiting reader at once.
 func TestCloseEndsBlockedReader(t *testing.T) {
-	before := runtime.GOMAXPROCS(1)
-	defer runtime.GOMAXPROCS(before)
+	procs := runtime.GOMAXPROCS(1)
+	defer runtime.GOMAXPROCS(procs)
 	for range 200 {
 		a, b := pair(t)
 		ended := make(chan error, 2)
@@ -112,28 +114,28 @@
 	}
 }
 
-// TestSilentGreeting: a greeting without an answer ends, on the side that dialled after the time it is given, on the other
-// after the longest; nobody owns it meanwhile.
+// TestSilentGreeting guards against handshakes that never end because the remote side sends no hello. Until a handshake ends, nothing else
+// can close its connection. The dialling side must give up after its limit, the accepting side after MaxHandshake.
 func TestSilentGreeting(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
 	defer ln.Close()
-	began := time.Now()
+	start := time.Now()
 	_, err = session.Dial(session.TCP, ln.Addr().String(), session.Limits{Dial: time.Second, Handshake: 250 * time.Millisecond}, &wire.Hello{})
 	qt.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), qt.IsTrue, qt.Commentf("%v", err))
-	qt.Assert(t, time.Since(began) < time.Second, qt.IsTrue)
-	mute, err := net.Dial("tcp", ln.Addr().String())
+	qt.Assert(t, time.Since(start) < time.Second, qt.IsTrue)
+	silent, err := net.Dial("tcp", ln.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
-	defer mute.Close()
-	for range 2 { // the first has ended already
+	defer silent.Close()
+	for range 2 { // the first connection has been closed already
 		conn, err := ln.Accept()
 		qt.Assert(t, err, qt.IsNil)
-		began = time.Now()
+		start = time.Now()
 		s, err := session.Accept(conn, &wire.Hello{})
 		if err == nil {
 			s.Close()
 		}
 	}
-	t.Logf("ended after %v", time.Since(began))
-	qt.Assert(t, time.Since(began) < session.MaxHandshake+time.Second, qt.IsTrue)
+	t.Logf("the handshake ended after %v", time.Since(start))
+	qt.Assert(t, time.Since(start) < session.MaxHandshake+time.Second, qt.IsTrue)
 }
