--- a/internal/link/links/links.go
+++ b/internal/link/links/links.go
@@ -1,5 +1,5 @@
-// Package links keeps the links of one process, by the incarnation of the process at the other end, and notices which
-// have fallen silent. One goroutine uses it.
+// Package links holds the links of one process, by the incarnation of the remote process, and drops those that have fallen silent. It is
+// not safe for concurrent use.
 package links
 
 import (
@@ -16,41 +16,43 @@
 	"hillreel/internal/link/wire"
 )
 
-// Link is the session with one process; T is what its user keeps beside it.
+// Link is the session with one process. T is the type of its user's own state for the link.
 type Link[T any] struct {
 	Peer    ident.Incarnation
 	Session *session.Session
-	// Heard is when the last frame came.
+	// LastReceived is when the last frame was received.
 	LastReceived time.Time
-	// Config is the configuration that the other side has, or can pass on, as far as it is known.
+	// Config is the newest configuration that the remote process is known to have or to be able to forward.
 	Config ident.ConfigVersion
-	// cordons is what the other side knows of cordons.
+	// cordons records which cordons the remote process knows.
 	cordons *cordon.Peer
 	State   T
 }
 
-// Name is that of the VM at the other end.
+// Name returns the name of the remote process's VM.
 func (l *Link[T]) Name() string { return l.Session.Remote.GetName() }
 
-// Set holds a process's links.
+// Set holds the links of a process.
 type Set[T any] struct {
-	// role is what the other ends are, for the log.
+	// role is the role of the remote processes, used as a field of log lines.
 	role  string
 	log   *logrus.Entry
 	links map[ident.Incarnation]*Link[T]
-	// newest is the highest session that each process has begun: 16 bytes for each life of a process that was ever linked.
+	// newestSession has the highest session number of each incarnation that was ever linked. It takes 16 bytes for each.
 	newestSession map[ident.Incarnation]uint64
-	// newPeer makes the account of what the other side of a new link knows of cordons.
+	// newCordonPeer returns the record of which cordons the remote process of a new link knows.
 	newCordonPeer func() *cordon.Peer
 }
 
-// New returns an empty Set; role says what the other ends are, newPeer makes the account of what one knows of cordons.
-func New[T any](role string, newPeer func() *cordon.Peer, log *logrus.Entry) *Set[T] {
-	return &Set[T]{role, log, make(map[ident.Incarnation]*Link[T]), make(map[ident.Incarnation]uint64), newPeer}
+// New returns an empty Set. role is the role of the remote processes, used as a field of log lines; newCordonPeer returns the record of
+// which cordons one of them knows.
+func New[T any](role string, newCordonPeer func() *cordon.Peer, log *logrus.Entry) *Set[T] {
+	return &Set[T]{role, log, make(map[ident.Incarnation]*Link[T]), make(map[ident.Incarnation]uint64), newCordonPeer}
 }
 
-// Outdated tells whether a session is an earlier one of its process than one that was seen already: a connection that was held
-// up on the way, whose other end is closed. What comes over it is old, and must not replace what a newer one has said.
+// IsOutdated reports whether a newer session of the same process was seen already, and otherwise records the session as the newest. An
+// outdated session is a connection that was delayed on the way and is closed at its other end. Its messages are old and must not replace
+// those of a newer session.
 func (s *Set[T]) IsOutdated(session *session.Session) bool {
 	peer, number := ident.Incarnation(session.Remote.GetIncarnation()), session.Remote.GetSession()
 	if number < s.newestSession[peer] {
@@ -61,16 +63,16 @@
 	return false
 }
 
-// Len returns how many links there are.
+// Len returns the number of links.
 func (s *Set[T]) Len() int { return len(s.links) }
 
-// All ranges over the links, in no order.
+// All returns an iterator over the links, in no particular order.
 func (s *Set[T]) All() iter.Seq[*Link[T]] { return maps.Values(s.links) }
 
-// Get returns the link with a process, or nil.
+// Get returns the link to a process, or nil.
 func (s *Set[T]) Get(peer ident.Incarnation) *Link[T] { return s.links[peer] }
 
-// Of returns the present link of a session, or nil when another has taken its place.
+// Current returns the link of a session, or nil if the process has no link or a link with another session.
 func (s *Set[T]) Current(session *session.Session) *Link[T] {
 	l := s.links[ident.Incarnation(session.Remote.GetIncarnation())]
 	if l == nil || l.Session != session {
@@ -79,7 +81,7 @@
 	return l
 }
 
-// Add takes up a session with a process that has no link.
+// Add adds a link for a session with a process that has no link.
 func (s *Set[T]) Add(now time.Time, session *session.Session) *Link[T] {
 	l := &Link[T]{
 		Peer: ident.Incarnation(session.Remote.GetIncarnation()), Session: session, LastReceived: now,
@@ -90,14 +92,14 @@
 	return l
 }
 
-// Drop closes a link and forgets it.
+// Drop closes a link and removes it.
 func (s *Set[T]) Drop(l *Link[T]) {
 	l.Session.Close()
 	delete(s.links, l.Peer)
 }
 
-// Ended forgets the link of a session that has ended, and returns it; it returns nil when another link has taken its
-// place.
+// RemoveEnded removes the link of a session that has ended with err, and returns the link. It returns nil if the link was removed or
+// replaced before.
 func (s *Set[T]) RemoveEnded(session *session.Session, err error) *Link[T] {
 	l := s.Current(session)
 	if l == nil {
@@ -108,30 +110,30 @@
 	return l
 }
 
-// Limits say how long a link may be silent.
+// Limits are the time limits after which a silent link is dropped.
 type Limits struct {
-	// Quiet is how long nothing may come while this process runs: then the link is given up so early that runs on it go on once
-	// another stands. Silence is the same whether it runs or not: then its runs are given up as well.
+	// LinkTimeout applies while this process runs without a pause. It drops the link early enough that the link's runs continue once
+	// a new link replaces it. Silence applies always; after it the link's runs are given up as well.
 	LinkTimeout, Silence time.Duration
 }
 
-// DropSilent forgets the links that are silent for too long, and returns them; running is since when this process runs without
-// a pause. What came during a pause is read only after it.
-func (s *Set[T]) DropSilent(now, running time.Time, limits Limits) []*Link[T] {
-	var out []*Link[T]
+// DropSilent drops the links that have been silent for too long, and returns them. runningSince is when the last pause of this process
+// ended: frames that arrive during a pause are read only after it, so LinkTimeout is counted from then.
+func (s *Set[T]) DropSilent(now, runningSince time.Time, limits Limits) []*Link[T] {
+	var dropped []*Link[T]
 	for _, l := range s.links {
 		silent := now.Sub(l.LastReceived)
-		if silent <= limits.Silence && (silent <= limits.LinkTimeout || now.Sub(running) <= limits.LinkTimeout) {
+		if silent <= limits.Silence && (silent <= limits.LinkTimeout || now.Sub(runningSince) <= limits.LinkTimeout) {
 			continue
 		}
 		s.log.WithFields(logrus.Fields{s.role: l.Name(), "silent_ms": silent.Milliseconds()}).Warn("link_silent")
 		s.Drop(l)
-		out = append(out, l)
+		dropped = append(dropped, l)
 	}
-	return out
+	return dropped
 }
 
-// Receive hands the messages of one frame to handle, unless the session's link has ended.
+// Receive calls handle for each message of one frame, unless the session's link was removed or replaced.
 func (s *Set[T]) Receive(now time.Time, session *session.Session, msgs []*wire.Msg, handle func(*Link[T], *wire.Msg)) {
 	l := s.Current(session)
 	if l == nil {
@@ -150,10 +152,10 @@
 	}
 }
 
-// Broadcast sends a message to all processes but one; but may be nil.
-func (s *Set[T]) Broadcast(m *wire.Msg, but *Link[T]) {
+// Broadcast sends a message over all links except one; except may be nil.
+func (s *Set[T]) Broadcast(m *wire.Msg, except *Link[T]) {
 	for l := range s.All() {
-		if l != but {
+		if l != except {
 			l.Session.Send(m)
 		}
 	}
@@ -166,22 +168,23 @@
 	}
 }
 
-// Pulse notices that the process has stood still: a control goroutine ticks regularly while it runs.
+// PauseDetector detects that the process was paused, from the gaps between the ticks of a goroutine that ticks regularly while the process
+// runs.
 type PauseDetector struct {
-	// Limit is the longest pause between two ticks that is no standstill.
+	// MaxGap is the longest gap between two ticks that does not count as a pause.
 	MaxGap time.Duration
-	// Pause is the longest one between two ticks during which the process counts as running.
+	// MaxRunningGap is the longest gap between two ticks during which the process counts as running. A longer gap moves RunningSince.
 	MaxRunningGap time.Duration
-	// Every is the pause between two ticks that are in time. Late is told by how much each tick was late; it may be nil.
+	// Interval is the gap between two ticks that are on time. OnTick is called with the delay of each tick but the first; it may be nil.
 	Interval time.Duration
-	OnTick   func(late time.Duration)
+	OnTick   func(delay time.Duration)
 	Log      *logrus.Entry
 	lastTick time.Time
-	// Running is since when no pause was longer.
+	// RunningSince is when the last gap longer than MaxRunningGap ended.
 	RunningSince time.Time
 }
 
-// Tick notes a tick; the first one begins the account.
+// Tick records a tick. The first tick starts the measurement.
 func (p *PauseDetector) Tick(now time.Time) {
 	gap := now.Sub(p.lastTick)
 	if p.HasPaused(now) && !p.lastTick.IsZero() {
@@ -196,11 +199,11 @@
 	p.lastTick = now
 }
 
-// Missed tells whether the process has stood still since the last tick. What has expired meanwhile must not be acted
-// on, so time must pass for its user, by a tick, before anything else.
+// HasPaused reports whether the gap since the last tick is longer than MaxGap. Timeouts that expired during a pause must not be acted on,
+// so the caller must run a tick before anything else.
 func (p *PauseDetector) HasPaused(now time.Time) bool { return now.Sub(p.lastTick) > p.MaxGap }
 
-// CatchUp lets time pass by a tick if the process has stood still, and returns the time.
+// CatchUp calls tick if the process was paused since the last tick, and returns the current time.
 func (p *PauseDetector) CatchUp(tick func()) time.Time {
 	now := boottime.Now()
 	if !p.HasPaused(now) {
