--- a/internal/link/members/members.go
+++ b/internal/link/members/members.go
@@ -1,8 +1,8 @@
-// Package members lets hillreel's processes find the entries: each entry keeps a row in the platform's store, and
-// everybody follows that table. Links tell who is alive, the table only where to look.
+// Package members lets hillreel's processes discover the entries. Each entry keeps a row in the platform's store, and every process follows
+// that table. The table only gives the entries' addresses; the links show which of them are alive.
 //
-// Each entry also renews a row of a second table, which nobody follows: a renewal would otherwise wake every
-// process of the region (90 calls a second with 10 entries and 62 agents). It tells which rows were left behind.
+// Each entry also renews a row in a second table, from which the other entries see which rows are abandoned. No process follows the second
+// table, because each renewal would wake every process of the region (90 calls a second with 10 entries and 62 agents).
 package members
 
 import (
@@ -22,11 +22,11 @@
 	"hillreel/internal/core/rows"
 )
 
-// The tables, by link address.
+// The tables' rows are named by the entries' link addresses.
 const (
-	// Table is followed: it changes only when an entry comes or goes.
+	// Table lists the entries. Processes follow it; it changes only when an entry starts, stops or changes its Wants.
 	Table rows.Table = "hillreel_entries"
-	// renewals holds when each entry was last there.
+	// renewals holds when each entry last renewed its row.
 	renewals rows.Table = "hillreel_entry_renewals"
 )
 
@@ -35,11 +35,12 @@
 	Name        string     `json:"name"`
 	Incarnation string     `json:"incarnation"`
 	Zone        ident.Zone `json:"zone"`
-	// Wants are services of whose upstreams the entry is linked to few, while agents link to a part of the entries only.
+	// Wants are the services whose agents should link to the entry, because it is linked to too few of their upstreams. Without it,
+	// agents link to only a part of the entries.
 	Wants []ident.Service `json:"wants,omitempty"`
 }
 
-// Directory is the list of entries as the store has it.
+// Directory is the list of entries, as last read from the store.
 type Directory struct {
 	onChange func([]fleet.Entry)
 	log      *logrus.Entry
@@ -48,12 +49,12 @@
 	all map[ident.Address]fleet.Entry
 }
 
-// NewDirectory returns an empty Directory; changed is called with all entries each time one comes, goes or changes.
-func NewDirectory(changed func([]fleet.Entry), log *logrus.Entry) *Directory {
-	return &Directory{onChange: changed, log: log, all: make(map[ident.Address]fleet.Entry)}
+// NewDirectory returns an empty Directory. onChange is called after each change with all entries, sorted by address.
+func NewDirectory(onChange func([]fleet.Entry), log *logrus.Entry) *Directory {
+	return &Directory{onChange: onChange, log: log, all: make(map[ident.Address]fleet.Entry)}
 }
 
-// Len returns how many entries are listed.
+// Len returns the number of entries listed.
 func (d *Directory) Len() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,19 +62,19 @@
 }
 
 const (
-	// gatherEach is for how long changes of the list are gathered, for each entry in it. Where a whole region starts, all entries come
-	// within a second, and each of their rows would else wake all processes.
+	// batchDelayPerEntry is the time for which changes of the list are batched, for each entry listed. When a whole region starts, all
+	// entries register within a second, and each row would otherwise wake all processes.
 	batchDelayPerEntry = 3 * time.Millisecond
-	// gatherMost bounds it: an entry that has just started gets no work before agents have heard of it.
+	// maxBatchDelay bounds the batch delay, because an entry that has just started gets no work until agents know it.
 	maxBatchDelay = 2 * time.Second
 )
 
-// Gather is for how long a process gathers changes of the list before it reads them.
+// BatchDelay returns for how long a process batches changes of the list before it reads them.
 func (d *Directory) BatchDelay() time.Duration {
 	return min(time.Duration(d.Len())*batchDelayPerEntry, maxBatchDelay)
 }
 
-// Change takes in changes of the table; it is a follow.Change.
+// HandleChanges applies changes of the table. It is the callback of a follow.Follower.
 func (d *Directory) HandleChanges(c follow.Changes) {
 	d.mu.Lock()
 	if c.Complete {
@@ -87,16 +88,16 @@
 		}
 		if _, err := netip.ParseAddrPort(string(address)); err != nil {
 			d.log.WithFields(logrus.Fields{"link": address, "error": err.Error()}).Warn("member_unreadable")
-			continue // somebody else's row
+			continue // not an entry's row
 		}
 		var e Entry
 		if err := json.Unmarshal(r.Value, &e); err != nil {
-			// The address is in the name, so that agents find the entry all the same.
+			// The row's name is the address, so agents can link to the entry all the same.
 			d.log.WithFields(logrus.Fields{"link": address, "error": err.Error()}).Warn("member_unreadable")
 		}
 		d.all[address] = fleet.Entry{Address: address, Wants: e.Wants}
 	}
-	live := slices.SortedFunc(maps.Values(d.all), func(a, b fleet.Entry) int { return cmp.Compare(a.Address, b.Address) })
+	entries := slices.SortedFunc(maps.Values(d.all), func(a, b fleet.Entry) int { return cmp.Compare(a.Address, b.Address) })
 	d.mu.Unlock()
-	d.onChange(live)
+	d.onChange(entries)
 }
--- a/internal/link/members/members_test.go
+++ b/internal/link/members/members_test.go
@@ -25,20 +25,20 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// heldStore carries out writes later, while it is told to.
-type heldStore struct {
+// delayedStore can hold writes back without an answer and carry them out later.
+type delayedStore struct {
 	mu   sync.Mutex
 	rows memory.Store
 	hold bool
-	// held are the writes that were not answered.
+	// held are the writes that were held back.
 	held []rows.Txn
-	// read counts the rows that were read.
+	// read is the number of rows that were read.
 	read int
-	// late are the writes that are done just before the next one.
+	// late are writes that are carried out just before the next one.
 	late []rows.Txn
 }
 
-func (s *heldStore) Range(_ context.Context, of rows.Range) (rows.Page, error) {
+func (s *delayedStore) Range(_ context.Context, of rows.Range) (rows.Page, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	page := rows.Page{Version: s.rows.Version, Now: time.Minute}
@@ -51,7 +51,7 @@
 	return page, nil
 }
 
-func (s *heldStore) Commit(_ context.Context, t rows.Txn) (rows.Version, error) {
+func (s *delayedStore) Commit(_ context.Context, t rows.Txn) (rows.Version, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.hold {
@@ -68,15 +68,15 @@
 	return s.rows.Version, nil
 }
 
-// holdBack begins to hold writes back, or ends that.
-func (s *heldStore) holdBack(hold bool) {
+// setHold sets whether writes are held back.
+func (s *delayedStore) setHold(hold bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hold = hold
 }
 
-// deliver carries out what was held back, as far as its conditions hold.
-func (s *heldStore) deliver() int {
+// deliver carries out the writes held back whose conditions hold, and returns how many were held back.
+func (s *delayedStore) deliver() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held := s.held
@@ -87,8 +87,8 @@
 	return len(held)
 }
 
-// registered returns the incarnation in the entry's row, empty when there is none.
-func (s *heldStore) registered(t *testing.T) string {
+// registered returns the incarnation in the entry's row, or an empty string if there is no row.
+func (s *delayedStore) registered(t *testing.T) string {
 	page, err := s.Range(context.Background(), rows.Range{Table: members.Table})
 	qt.Assert(t, err, qt.IsNil)
 	i := slices.IndexFunc(page.Rows, func(r rows.Row) bool { return r.Key.Name == address })
@@ -100,37 +100,37 @@
 	return e.Incarnation
 }
 
-// awaitRegistered waits until the entry's row is that of an incarnation.
-func (s *heldStore) awaitRegistered(t *testing.T, want string) {
-	for until := time.Now().Add(5 * time.Second); s.registered(t) != want; time.Sleep(time.Millisecond) {
-		qt.Assert(t, time.Now().Before(until), qt.IsTrue, qt.Commentf("the row is that of %q, want %q", s.registered(t), want))
+// awaitRegistered waits until the entry's row has an incarnation.
+func (s *delayedStore) awaitRegistered(t *testing.T, want string) {
+	for deadline := time.Now().Add(5 * time.Second); s.registered(t) != want; time.Sleep(time.Millisecond) {
+		qt.Assert(t, time.Now().Before(deadline), qt.IsTrue, qt.Commentf("the row has incarnation %q, want %q", s.registered(t), want))
 	}
 }
 
-// life starts one life of the entry.
-func life(t *testing.T, s *heldStore, incarnation string) *members.Registrar {
+// start starts a Registrar for one incarnation of the entry.
+func start(t *testing.T, s *delayedStore, incarnation string) *members.Registrar {
 	r := members.NewRegistrar(s, address, members.Entry{Name: "e", Incarnation: incarnation}, func() int { return 1 }, logs.Discard())
 	qt.Assert(t, r.Start(context.Background()), qt.IsNil)
 	return r
 }
 
-// TestLateWritesOfAnEarlierLife: a write without an answer may be carried out seconds later. One of an entry's earlier life
-// must not take away, or replace, the row of the life that has registered since: until its next renewal, ten seconds
-// later, no agent that starts would find it.
+// TestLateWritesOfAnEarlierLife guards against delayed writes of an entry's earlier incarnation. A write without an answer may be carried out
+// seconds later. If it removed or replaced the row of the incarnation that has registered since, agents that start would not find the entry
+// until its next renewal, ten seconds later.
 func TestLateWritesOfAnEarlierLife(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		first func(s *heldStore)
+		first func(s *delayedStore)
 	}{
-		{"its removal", func(s *heldStore) {
-			r := life(t, s, "1")
+		{"removal", func(s *delayedStore) {
+			r := start(t, s, "1")
 			s.awaitRegistered(t, "1")
-			s.holdBack(true)
+			s.setHold(true)
 			r.Stop()
 		}},
-		{"its registration", func(s *heldStore) {
-			s.holdBack(true)
-			r := life(t, s, "1")
+		{"registration", func(s *delayedStore) {
+			s.setHold(true)
+			r := start(t, s, "1")
 			for s.waiting() == 0 {
 				time.Sleep(time.Millisecond)
 			}
@@ -138,10 +138,10 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := &heldStore{rows: memory.New()}
+			s := &delayedStore{rows: memory.New()}
 			test.first(s)
-			s.holdBack(false)
-			second := life(t, s, "2")
+			s.setHold(false)
+			second := start(t, s, "2")
 			defer second.Stop()
 			s.awaitRegistered(t, "2")
 			qt.Assert(t, s.deliver() > 0, qt.IsTrue)
@@ -150,51 +150,52 @@
 	}
 }
 
-// TestStopRemovesTheRow: an entry that ends takes its row along, also when the answer to its last renewal was lost, but
-// not that of a successor.
+// TestStopRemovesTheRow guards against rows that remain after an entry has stopped, also when the answer to its last renewal was lost, and
+// against removing the row of a successor.
 func TestStopRemovesTheRow(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		before func(s *heldStore)
-		left   string
+		before func(s *delayedStore)
+		want   string
 	}{
-		{"its own", func(*heldStore) {}, ""},
-		{"its own, renewed without an answer", func(s *heldStore) {
+		{"own row", func(*delayedStore) {}, ""},
+		{"own row, renewed without an answer", func(s *delayedStore) {
 			key := rows.Key{Table: members.Table, Name: address}
 			s.rows.Put(key, s.rows.Rows[key].Value)
 		}, ""},
-		{"its own, renewed late", func(s *heldStore) {
+		{"own row, renewed late", func(s *delayedStore) {
 			key := rows.Key{Table: members.Table, Name: address}
 			s.late = []rows.Txn{{Put: []rows.Row{s.rows.Rows[key]}}}
 		}, ""},
-		{"a successor's", func(s *heldStore) {
+		{"row of a successor", func(s *delayedStore) {
 			s.rows.Put(rows.Key{Table: members.Table, Name: address}, []byte(`{"incarnation":"2"}`))
 		}, "2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := &heldStore{rows: memory.New()}
-			r := life(t, s, "1")
+			s := &delayedStore{rows: memory.New()}
+			r := start(t, s, "1")
 			s.awaitRegistered(t, "1")
 			s.mu.Lock()
 			test.before(s)
 			s.mu.Unlock()
 			r.Stop()
-			qt.Assert(t, s.registered(t), qt.Equals, test.left)
+			qt.Assert(t, s.registered(t), qt.Equals, test.want)
 		})
 	}
 }
 
-// waiting counts the writes that are held back.
-func (s *heldStore) waiting() int {
+// waiting returns the number of writes held back.
+func (s *delayedStore) waiting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.held)
 }
 
-// TestRowsOfOtherWriters: a row that names no address is nobody to link to; one that can't be read names its entry all the same.
+// TestRowsOfOtherWriters guards against links to rows whose name is not an address. A row with an address and an unreadable value still
+// names an entry.
 func TestRowsOfOtherWriters(t *testing.T) {
 	var all []fleet.Entry
-	d := members.NewDirectory(func(l []fleet.Entry) { all = l }, logs.Discard())
+	d := members.NewDirectory(func(entries []fleet.Entry) { all = entries }, logs.Discard())
 	row := func(name, value string) rows.Row {
 		return rows.Row{Key: rows.Key{Table: members.Table, Name: name}, Value: []byte(value)}
 	}
@@ -203,19 +204,19 @@
 		row("", `{"name":"entry-4"}`), row("entry-5", `{}`), row("10.0.0.6", `{}`), row("host:7400", `{}`),
 	}})
 	var addresses []string
-	for _, l := range all {
-		addresses = append(addresses, string(l.Address))
+	for _, e := range all {
+		addresses = append(addresses, string(e.Address))
 	}
 	qt.Assert(t, addresses, qt.DeepEquals, []string{address, "10.0.0.2:7400", "10.0.0.3:7400"})
 }
 
-// TestRenewalsReadFewRows: what all entries of a region read together at their renewals grows with their number, not with its square; in
-// a small region each looks at all rows.
+// TestRenewalsReadFewRows guards against renewals that read too much. The rows that all entries of a region read in one renewal interval must
+// grow with the number of entries, not with its square. In a small region each entry reads all rows.
 func TestRenewalsReadFewRows(t *testing.T) {
 	const rounds = 20
 	read := make(map[int]int)
 	for _, n := range []int{3, 100, 200} {
-		s := &heldStore{rows: memory.New()}
+		s := &delayedStore{rows: memory.New()}
 		ctx := context.Background()
 		for range rounds {
 			for i := range n {
--- a/internal/link/members/registrar.go
+++ b/internal/link/members/registrar.go
@@ -19,10 +19,10 @@
 const (
 	// renewEvery is the pause between two renewals of an entry's row.
 	renewEvery = 10 * time.Second
-	// removeAfter is when a row that was not renewed counts as left behind, and other entries remove it.
+	// removeAfter is the age of a renewal after which the entry's rows count as abandoned and other entries remove them.
 	removeAfter = 45 * time.Second
-	// retryAfter is the pause after a renewal that failed. An entry whose row is missing when the store returns
-	// must be back within two seconds.
+	// retryAfter is the pause after a renewal that failed. An entry whose row is missing after a store outage must be listed again
+	// within two seconds.
 	retryAfter = 300 * time.Millisecond
 )
 
@@ -32,35 +32,35 @@
 	AtMs int64 `json:"at_ms"`
 }
 
-// Writer is what a Registrar needs of the store.
+// Store is the part of the platform's store that a Registrar uses.
 type Store interface {
 	Range(ctx context.Context, r rows.Range) (rows.Page, error)
 	Commit(ctx context.Context, t rows.Txn) (rows.Version, error)
 }
 
-// Registrar keeps one entry's rows.
+// Registrar keeps the rows of one entry up to date.
 type Registrar struct {
 	store   Store
 	address ident.Address
 	log     *logrus.Entry
-	// entries tells how many entries are known.
+	// entries returns the number of known entries.
 	entries func() int
 	cancel  context.CancelFunc
 	done    chan struct{}
-	// wake lets the row be written before its next renewal.
+	// wake triggers a renewal before the next one is due.
 	wake chan struct{}
 
 	mu    sync.Mutex
 	entry Entry
 }
 
-// NewRegistrar returns a Registrar that has not begun; entries tells how many entries are known.
+// NewRegistrar returns a Registrar for the entry at an address; entries returns the number of known entries.
 func NewRegistrar(s Store, address ident.Address, e Entry, entries func() int, log *logrus.Entry) *Registrar {
 	return &Registrar{store: s, address: address, entry: e, entries: entries, log: log, done: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
-// Want lets agents of some services link to the entry, beside those that do anyway. They do so for the entry's life, and
-// that of its successor at the same address.
+// RequestAgents asks the agents of some services to link to the entry, in addition to those that do so anyway. The request lasts as long
+// as the entry's process and its successors at the same address.
 func (r *Registrar) RequestAgents(services []ident.Service) {
 	if !r.addWants(services) {
 		return
@@ -72,7 +72,7 @@
 	}
 }
 
-// addWants adds services, and tells whether one was new.
+// addWants adds services to the entry's Wants and reports whether any of them was new.
 func (r *Registrar) addWants(services []ident.Service) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +85,7 @@
 	return len(r.entry.Wants) > before
 }
 
-// Start begins to renew the row.
+// Start starts the goroutine that renews the rows. It does not wait for the first renewal, and its error is always nil.
 func (r *Registrar) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// Stop removes the rows, if the store answers at once.
+// Stop stops the renewals and tries to remove the rows, within retryAfter.
 func (r *Registrar) Stop() {
 	r.cancel()
 	<-r.done
@@ -101,30 +101,30 @@
 	defer cancel()
 	err := r.remove(ctx)
 	for errors.Is(err, rows.ErrConflict) {
-		err = r.remove(ctx) // a renewal of this life was done late
+		err = r.remove(ctx) // a delayed renewal by this process has changed the row
 	}
 	if err != nil {
 		r.log.WithField("error", err.Error()).Info("member_row_left")
 	}
 }
 
-// remove removes this life's rows, unless a successor has replaced them.
+// remove removes this process's rows, unless a successor has replaced them.
 func (r *Registrar) remove(ctx context.Context) error {
-	present, err := r.read(ctx, r.ownRow())
+	read, err := r.read(ctx, r.ownRow())
 	if err != nil {
 		return err
 	}
-	row := present.entry(r.address)
+	row := read.entry(r.address)
 	if row == nil || !r.isOwn(row) {
 		return nil
 	}
-	txn := present.conditionalTxn(r.address)
+	txn := read.conditionalTxn(r.address)
 	txn.Remove = []rows.Key{r.key(Table), r.key(renewals)}
 	_, err = r.store.Commit(ctx, txn)
 	return err
 }
 
-// isOwn tells whether a row was written by this life of the entry.
+// isOwn reports whether this process, and not a successor, wrote a row.
 func (r *Registrar) isOwn(row *rows.Row) bool {
 	var e Entry
 	if err := json.Unmarshal(row.Value, &e); err != nil {
@@ -136,17 +136,17 @@
 	return e.Incarnation == r.entry.Incarnation
 }
 
-// key names the entry's row of a table.
+// key returns the key of the entry's row in a table.
 func (r *Registrar) key(t rows.Table) rows.Key { return rows.Key{Table: t, Name: string(r.address)} }
 
-// listing is what the two tables hold at one time.
+// listing holds rows read from the two tables.
 type listing struct{ entries, renewals rows.Page }
 
-// sweeps is how many entries look at each renewal for what others have left behind, on average. If all did, what they read would grow
-// with the square of their number.
+// sweepsPerInterval is how many entries, on average, read all rows in each renewal interval to find abandoned ones. If every entry did so,
+// the number of rows read would grow with the square of the number of entries.
 const sweepsPerInterval = 3
 
-// scope returns the rows that a renewal reads: the entry's own, and now and then all.
+// readRange returns the range of rows that a renewal reads: the entry's own row or, at random, all rows.
 func (r *Registrar) readRange() rows.Range {
 	if n := r.entries(); n > sweepsPerInterval && rand.IntN(n) >= sweepsPerInterval {
 		return r.ownRow()
@@ -154,12 +154,12 @@
 	return rows.Range{}
 }
 
-// ownRow bounds a reading to the entry's own row.
+// ownRow returns the range that holds only the entry's own row.
 func (r *Registrar) ownRow() rows.Range {
 	return rows.Range{From: string(r.address), To: string(r.address) + "\x00"}
 }
 
-// read reads both tables within a range of names.
+// read reads a range of names from both tables.
 func (r *Registrar) read(ctx context.Context, names rows.Range) (listing, error) {
 	names.Table = Table
 	entries, err := r.store.Range(ctx, names)
@@ -167,15 +167,15 @@
 		return listing{}, err
 	}
 	names.Table = renewals
-	renewed, err := r.store.Range(ctx, names)
-	return listing{entries, renewed}, err
+	renewalRows, err := r.store.Range(ctx, names)
+	return listing{entries, renewalRows}, err
 }
 
 // entry returns the row of the entry at an address, or nil.
 func (l *listing) entry(a ident.Address) *rows.Row { return find(l.entries, a) }
 
-// conditions returns a transaction that is done only while an entry's rows are as they were read. A write without an
-// answer may be carried out seconds later, when the entry's next life has registered at the same address.
+// conditionalTxn returns a transaction that takes effect only if the rows of the entry at an address are unchanged since they were read. A
+// write that got no answer may be carried out seconds later, when the entry's successor has registered at the same address.
 func (l *listing) conditionalTxn(a ident.Address) rows.Txn {
 	condition := func(t rows.Table, row *rows.Row) rows.Condition {
 		c := rows.Condition{Key: rows.Key{Table: t, Name: string(a)}}
@@ -187,7 +187,7 @@
 	return rows.Txn{If: []rows.Condition{condition(Table, l.entry(a)), condition(renewals, find(l.renewals, a))}}
 }
 
-// find returns an address's row of a page, or nil.
+// find returns the row of an address from a page, or nil.
 func find(p rows.Page, a ident.Address) *rows.Row {
 	i := slices.IndexFunc(p.Rows, func(row rows.Row) bool { return row.Key.Name == string(a) })
 	if i < 0 {
@@ -196,6 +196,7 @@
 	return &p.Rows[i]
 }
 
+// run renews the rows until ctx is cancelled, and logs when renewals begin to fail or to succeed.
 func (r *Registrar) run(ctx context.Context) {
 	defer close(r.done)
 	failing := false
@@ -220,19 +221,19 @@
 	}
 }
 
-// Renew writes the entry's renewal and, if it is missing or another life's, its row; and it removes what others
-// have left behind, of the rows that it reads.
+// Renew writes the entry's renewal and, if the entry's row is missing or differs, the row. It also removes those rows of other entries that
+// it reads and finds abandoned.
 func (r *Registrar) Renew(ctx context.Context) error {
-	present, err := r.read(ctx, r.readRange())
+	read, err := r.read(ctx, r.readRange())
 	if err != nil {
 		return err
 	}
-	txn, err := r.ownRowsTxn(&present)
+	txn, err := r.ownRowsTxn(&read)
 	if err != nil {
 		return err
 	}
-	for _, row := range present.renewals.Rows {
-		if row.Key.Name != string(r.address) && isAbandoned(row, present.renewals.Now) {
+	for _, row := range read.renewals.Rows {
+		if row.Key.Name != string(r.address) && isAbandoned(row, read.renewals.Now) {
 			txn.If = append(txn.If, rows.Condition{Key: row.Key, Version: row.Version})
 			txn.Remove = append(txn.Remove, row.Key, rows.Key{Table: Table, Name: row.Key.Name})
 			r.log.WithField("link", row.Key.Name).Info("member_removed")
@@ -242,17 +243,18 @@
 	return err
 }
 
-// own returns the writes of the entry's own rows.
-func (r *Registrar) ownRowsTxn(present *listing) (rows.Txn, error) {
-	mark, err := json.Marshal(renewal{present.renewals.Now.Milliseconds()})
+// ownRowsTxn returns the transaction that writes the entry's own rows. It first adds the Wants of the row as read, which a predecessor may
+// have written, to the entry's.
+func (r *Registrar) ownRowsTxn(read *listing) (rows.Txn, error) {
+	renewed, err := json.Marshal(renewal{read.renewals.Now.Milliseconds()})
 	if err != nil {
 		return rows.Txn{}, errors.Wrap(err, "members: encode")
 	}
-	row := present.entry(r.address)
+	row := read.entry(r.address)
 	if row != nil {
-		var former Entry
-		if json.Unmarshal(row.Value, &former) == nil {
-			r.addWants(former.Wants)
+		var previous Entry
+		if json.Unmarshal(row.Value, &previous) == nil {
+			r.addWants(previous.Wants)
 		}
 	}
 	r.mu.Lock()
@@ -261,16 +263,16 @@
 	if err != nil {
 		return rows.Txn{}, errors.Wrap(err, "members: encode")
 	}
-	txn := present.conditionalTxn(r.address)
-	txn.Put = []rows.Row{{Key: r.key(renewals), Value: mark}}
+	txn := read.conditionalTxn(r.address)
+	txn.Put = []rows.Row{{Key: r.key(renewals), Value: renewed}}
 	if row == nil || !bytes.Equal(row.Value, value) {
 		txn.Put = append(txn.Put, rows.Row{Key: r.key(Table), Value: value})
 	}
 	return txn, nil
 }
 
-// leftBehind tells whether a renewal is so old that its entry has surely gone. The store's clock is steady; one
-// that can't be read counts as old.
+// isAbandoned reports whether a renewal is older than removeAfter by the store's clock, which is steady. A renewal that can't be decoded
+// counts as abandoned.
 func isAbandoned(row rows.Row, now time.Duration) bool {
 	var at renewal
 	if err := json.Unmarshal(row.Value, &at); err != nil {
