--- a/internal/link/links/links_test.go
+++ b/internal/link/links/links_test.go
@@ -34,8 +34,8 @@
 	return set
 }
 
-// TestDropSilent guards against links that are dropped too early after a pause of this process. Frames that arrived during the pause must be
-// read first. While the process runs, a silent link is dropped after LinkTimeout.
+// TestDropSilent guards against links that are dropped too early after a pause of this process. Frames that arrived during the pause must
+// be read first. While the process runs, a silent link is dropped after LinkTimeout.
 func TestDropSilent(t *testing.T) {
 	limits := links.Limits{LinkTimeout: 250 * time.Millisecond, Silence: 400 * time.Millisecond}
 	for _, test := range []struct {
--- a/internal/link/members/members.go
+++ b/internal/link/members/members.go
@@ -35,8 +35,8 @@
 	Name        string     `json:"name"`
 	Incarnation string     `json:"incarnation"`
 	Zone        ident.Zone `json:"zone"`
-	// Wants are the services whose agents should link to the entry, because it is linked to too few of their upstreams. Without it,
-	// agents link to only a part of the entries.
+	// Wants are the services whose upstreams the entry has too few links to. Their agents then link to the entry too, where agents
+	// otherwise link to only a part of the entries.
 	Wants []ident.Service `json:"wants,omitempty"`
 }
 
--- a/internal/link/members/members_test.go
+++ b/internal/link/members/members_test.go
@@ -114,9 +114,9 @@
 	return r
 }
 
-// TestLateWritesOfAnEarlierLife guards against delayed writes of an entry's earlier incarnation. A write without an answer may be carried out
-// seconds later. If it removed or replaced the row of the incarnation that has registered since, agents that start would not find the entry
-// until its next renewal, ten seconds later.
+// TestLateWritesOfAnEarlierLife guards against delayed writes of an entry's earlier incarnation. A write without an answer may be carried
+// out seconds later. If it removed or replaced the row of the incarnation that has registered since, agents that start would not find the
+// entry until its next renewal, ten seconds later.
 func TestLateWritesOfAnEarlierLife(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -210,8 +210,8 @@
 	qt.Assert(t, addresses, qt.DeepEquals, []string{address, "10.0.0.2:7400", "10.0.0.3:7400"})
 }
 
-// TestRenewalsReadFewRows guards against renewals that read too much. The rows that all entries of a region read in one renewal interval must
-// grow with the number of entries, not with its square. In a small region each entry reads all rows.
+// TestRenewalsReadFewRows guards against renewals that read too much. The rows that all entries of a region read in one renewal interval
+// must grow with the number of entries, not with its square. In a small region each entry reads all rows.
 func TestRenewalsReadFewRows(t *testing.T) {
 	const rounds = 20
 	read := make(map[int]int)
