--- a/client/client.go
+++ b/client/client.go
@@ -77,21 +77,21 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "client: encode")
 	}
-	return c.try(ctx, http.MethodPut, id, body)
+	return c.tryEntries(ctx, http.MethodPut, id, body)
 }
 
 // State asks for the state of a job that was sent with Keep.
 func (c *Client) State(ctx context.Context, id string) (*api.Answer, error) {
-	return c.try(ctx, http.MethodGet, id, nil)
+	return c.tryEntries(ctx, http.MethodGet, id, nil)
 }
 
 // Cancel ends a job.
 func (c *Client) Cancel(ctx context.Context, id string) (*api.Answer, error) {
-	return c.try(ctx, http.MethodDelete, id, nil)
+	return c.tryEntries(ctx, http.MethodDelete, id, nil)
 }
 
 // try calls one entry after the other until one answers.
-func (c *Client) try(ctx context.Context, method, id string, body []byte) (*api.Answer, error) {
+func (c *Client) tryEntries(ctx context.Context, method, id string, body []byte) (*api.Answer, error) {
 	var last error
 	for range c.o.Attempts {
 		entry := c.o.Entries[c.next.Add(1)%uint64(len(c.o.Entries))]
--- a/commands/burn.go
+++ b/commands/burn.go
@@ -40,17 +40,17 @@
 		return cli.Exit(err.Error(), exit.Failed)
 	}
 	if file := c.String("html"); file != "" {
-		if err := b.page(file, services); err != nil {
+		if err := b.writePage(file, services); err != nil {
 			return cli.Exit(err.Error(), exit.Failed)
 		}
 	}
 	if c.Bool("json") {
 		return port.PrintJSON(c, services)
 	}
-	return b.text(c, services)
+	return b.writeText(c, services)
 }
 
-func (burnCommand) page(file string, services []burn.Service) error {
+func (burnCommand) writePage(file string, services []burn.Service) error {
 	t, err := template.New("burn").Parse(burnPage)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 	return os.WriteFile(file, out.Bytes(), 0o644)
 }
 
-func (burnCommand) text(c *cli.Command, services []burn.Service) error {
+func (burnCommand) writeText(c *cli.Command, services []burn.Service) error {
 	var out bytes.Buffer
 	if len(services) == 0 {
 		out.WriteString("no objective is configured: hillreel config set objective NAME ...\n")
--- a/commands/commands.go
+++ b/commands/commands.go
@@ -22,10 +22,10 @@
 	define() *cli.Command
 }
 
-var table []command
+var registered []command
 
 // register adds a subcommand to the table.
-func register(c command) { table = append(table, c) }
+func register(c command) { registered = append(registered, c) }
 
 // New returns the whole command line.
 func New() *cli.Command {
@@ -37,7 +37,7 @@
 		EnableShellCompletion: true,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
 	}
-	for _, c := range table {
+	for _, c := range registered {
 		root.Commands = append(root.Commands, c.define())
 	}
 	return root
@@ -58,26 +58,26 @@
 
 // signals are those that a process is told to end or to reload with. Of each kind one waits to be handled, since more are as good
 // as one; and a series of one kind keeps none of the other out.
-type signals struct{ end, reload chan os.Signal }
+type signals struct{ stop, reload chan os.Signal }
 
 // takeSignals lets the process take the signals that it is told to end or to reload with. A signal that nobody takes ends the
 // process at once, with all the requests that it has read: so they are taken before it listens, and until it has ended.
 // Logging to a pipe that nobody reads any more sends one as well, which is of no use: the lines are counted as dropped.
-func takeSignals() signals {
+func notifySignals() signals {
 	signal.Ignore(syscall.SIGPIPE)
-	s := signals{end: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
-	signal.Notify(s.end, syscall.SIGTERM, syscall.SIGINT)
+	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
+	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
 	return s
 }
 
 // awaitEnd returns when the process is asked to end. On SIGHUP it calls reload; a nil one does nothing.
-func awaitEnd(ctx context.Context, s signals, log *logrus.Entry, reload func()) {
+func awaitStop(ctx context.Context, s signals, log *logrus.Entry, reload func()) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case sig := <-s.end:
+		case sig := <-s.stop:
 			log.WithField("signal", sig.String()).Info("signal")
 			return
 		case sig := <-s.reload:
@@ -90,11 +90,11 @@
 }
 
 // noteSignals logs the signals that come while the process leaves: they come in series, and change nothing any more.
-func noteSignals(s signals, log *logrus.Entry) {
+func logSignals(s signals, log *logrus.Entry) {
 	for {
 		var sig os.Signal
 		select {
-		case sig = <-s.end:
+		case sig = <-s.stop:
 		case sig = <-s.reload:
 		}
 		log.WithFields(logrus.Fields{"signal": sig.String(), "leaving": true}).Info("signal")
@@ -108,12 +108,12 @@
 }
 
 // flushLimit bounds the writing of a process's last lines; both roles keep more than that of their grace for closing.
-const flushLimit = 100 * time.Millisecond
+const flushTimeout = 100 * time.Millisecond
 
 // serve runs a process until it is asked to end, and keeps its settings up to date.
 func serve(ctx context.Context, p process, r *reloader, log *logrus.Entry) error {
-	defer logs.Flush(log, flushLimit)
-	signals := takeSignals()
+	defer logs.Flush(log, flushTimeout)
+	signals := notifySignals()
 	if err := p.Start(ctx); err != nil {
 		return cli.Exit(err.Error(), exit.Failed)
 	}
@@ -122,13 +122,13 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.run(ctx, reload)
-	awaitEnd(ctx, signals, log, func() {
+	awaitStop(ctx, signals, log, func() {
 		select {
 		case reload <- struct{}{}:
 		default: // one is waiting already
 		}
 	})
-	go noteSignals(signals, log)
+	go logSignals(signals, log)
 	p.Drain()
 	return nil
 }
--- a/commands/config/files.go
+++ b/commands/config/files.go
@@ -36,8 +36,8 @@
 }
 
 func (command) apply(ctx context.Context, c *cli.Command) error {
-	return eachDifference(ctx, c, func(present, wanted object.Object) error {
-		call := port.Call{Method: http.MethodPut, Path: pathOf(string(wanted.Kind), string(wanted.Name)), Header: ifMatch(present.Version), Body: wanted.Spec}
+	return forEachDifference(ctx, c, func(present, wanted object.Object) error {
+		call := port.Call{Method: http.MethodPut, Path: objectPath(string(wanted.Kind), string(wanted.Name)), Header: ifMatch(present.Version), Body: wanted.Spec}
 		var done operator.Changed
 		if _, err := port.Do(ctx, c, call, &done); err != nil {
 			return cli.Exit(wanted.Ref.String()+": "+err.Error(), exit.Failed)
@@ -48,7 +48,7 @@
 }
 
 func (command) diff(ctx context.Context, c *cli.Command) error {
-	return eachDifference(ctx, c, func(present, wanted object.Object) error {
+	return forEachDifference(ctx, c, func(present, wanted object.Object) error {
 		before := string(present.Spec)
 		if present.Version == 0 {
 			before = "(none)"
@@ -59,7 +59,7 @@
 }
 
 // eachDifference calls f for each object of the file that is not there as it stands in the file.
-func eachDifference(ctx context.Context, c *cli.Command, f func(present, wanted object.Object) error) error {
+func forEachDifference(ctx context.Context, c *cli.Command, f func(present, wanted object.Object) error) error {
 	raw, err := readInput(c.String("file"))
 	if err != nil {
 		return cli.Exit(err.Error(), exit.Usage)
@@ -75,7 +75,7 @@
 	}
 	for _, o := range wanted {
 		var present object.Object
-		call := port.Call{Method: http.MethodGet, Path: pathOf(string(o.Kind), string(o.Name))}
+		call := port.Call{Method: http.MethodGet, Path: objectPath(string(o.Kind), string(o.Name))}
 		status, err := port.Do(ctx, c, call, &present)
 		if err != nil && status != http.StatusNotFound {
 			return cli.Exit(err.Error(), exit.Failed)
--- a/commands/config/objects.go
+++ b/commands/config/objects.go
@@ -51,7 +51,7 @@
 	if c.Args().Len() != 3 {
 		return cli.Exit("config set: want KIND NAME JSON", exit.Usage)
 	}
-	call := port.Call{Method: http.MethodPut, Path: pathOf(c.Args().Get(0), c.Args().Get(1)), Header: ifMatch(c.Uint64("if"))}
+	call := port.Call{Method: http.MethodPut, Path: objectPath(c.Args().Get(0), c.Args().Get(1)), Header: ifMatch(c.Uint64("if"))}
 	call.Body = []byte(c.Args().Get(2))
 	call.Header[operator.HeaderChange] = c.String("change-id")
 	if c.Bool("patch") {
@@ -78,7 +78,7 @@
 	if c.Args().Len() != 2 {
 		return cli.Exit("config delete: want KIND NAME", exit.Usage)
 	}
-	call := port.Call{Method: http.MethodDelete, Path: pathOf(c.Args().Get(0), c.Args().Get(1)), Header: ifMatch(c.Uint64("if"))}
+	call := port.Call{Method: http.MethodDelete, Path: objectPath(c.Args().Get(0), c.Args().Get(1)), Header: ifMatch(c.Uint64("if"))}
 	var out json.RawMessage
 	if _, err := port.Do(ctx, c, call, &out); err != nil {
 		return cli.Exit(err.Error(), exit.Failed)
@@ -95,7 +95,7 @@
 }
 
 // pathOf is the path of one object.
-func pathOf(kind, name string) string {
+func objectPath(kind, name string) string {
 	return "/v1/config/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
--- a/commands/demo.go
+++ b/commands/demo.go
@@ -26,11 +26,11 @@
 
 // The set that the demo runs, and the jobs that it sends: those of a podcast's publishing, a few a second.
 const (
-	demoEntries = 3
-	demoAgents  = 4
-	demoCores   = 16
-	demoEvery   = 25 * time.Millisecond
-	demoService = "publish"
+	demoEntries  = 3
+	demoAgents   = 4
+	demoCores    = 16
+	demoInterval = 25 * time.Millisecond
+	demoService  = "publish"
 	// The bounds of the response times, in milliseconds: 1 ms to a minute; and their precision, in decimal digits.
 	demoLowest, demoHighest, demoDigits = 1, 60_000, 2
 )
@@ -71,7 +71,7 @@
 		set.Stop()
 	}()
 	fmt.Fprintf(out, "set: a store, %d entries, %d agents with upstreams of %d cores\n", demoEntries, demoAgents, demoCores)
-	r, err := drive(ctx, set.Callers(), c.Duration("for"))
+	r, err := sendJobs(ctx, set.Callers(), c.Duration("for"))
 	if err != nil {
 		return cli.Exit(err.Error(), exit.Failed)
 	}
@@ -79,7 +79,7 @@
 	if c.Bool("keep") {
 		fmt.Fprintf(out, "\nthe set keeps running\ncallers: http://%s\nmetrics: http://127.0.0.1:7500/metrics\noperators' token: %s\n",
 			set.Callers()[0], embedded.Token)
-		awaitEnd(ctx, takeSignals(), log, nil)
+		awaitStop(ctx, notifySignals(), log, nil)
 	}
 	switch {
 	case len(set.Ledger.Broken()) > 0:
@@ -100,14 +100,14 @@
 }
 
 // drive sends jobs for a while and waits for their answers.
-func drive(ctx context.Context, entries []string, length time.Duration) (*demoResult, error) {
+func sendJobs(ctx context.Context, entries []string, length time.Duration) (*demoResult, error) {
 	cl, err := client.New(client.Options{Entries: entries, Connections: 256})
 	if err != nil {
 		return nil, err
 	}
 	r := &demoResult{states: make(map[api.State]int), times: hdrhistogram.New(demoLowest, demoHighest, demoDigits)}
 	var group sync.WaitGroup
-	ticker := time.NewTicker(demoEvery)
+	ticker := time.NewTicker(demoInterval)
 	defer ticker.Stop()
 	end := time.After(length)
 	for i := 0; ; i++ {
--- a/commands/drain_test.go
+++ b/commands/drain_test.go
@@ -37,7 +37,7 @@
 
 // answer reads the answer on a connection: its status and body.
 func answer(t *testing.T, conn net.Conn) (int, string) {
-	qt.Assert(t, conn.SetReadDeadline(time.Now().Add(patience)), qt.IsNil)
+	qt.Assert(t, conn.SetReadDeadline(time.Now().Add(waitLimit)), qt.IsNil)
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	qt.Assert(t, err, qt.IsNil)
 	raw, err := io.ReadAll(res.Body)
@@ -70,7 +70,7 @@
 			s := newSet(t)
 			s.entryWith("entry-1", test.options)
 			s.agent("agent-1")
-			s.await("entry-1")
+			s.awaitReady("entry-1")
 			leave := func() {
 				s.signal("entry-1", syscall.SIGTERM)
 				if test.agents {
@@ -111,7 +111,7 @@
 	front := freeAddress()
 	s.entryWith("entry-1", "unready = 500ms\ngrace = 10s\nfront = "+front)
 	s.agent("agent-1")
-	s.await("entry-1")
+	s.awaitReady("entry-1")
 	s.signal("entry-1", syscall.SIGTERM)
 	began := time.Now()
 	time.Sleep(300 * time.Millisecond)
@@ -126,7 +126,7 @@
 	s := newSet(t)
 	s.entryWith("entry-1", "unready = 500ms\ngrace = 5s\noperator_token = token-of-this-test-0123456789")
 	s.agent("agent-1")
-	s.await("entry-1")
+	s.awaitReady("entry-1")
 	s.signal("entry-1", syscall.SIGTERM)
 	time.Sleep(400 * time.Millisecond)
 	s.signal("store", syscall.SIGSTOP)
@@ -149,7 +149,7 @@
 	s := newSet(t)
 	s.entry("entry-1")
 	s.agent("agent-1")
-	s.await("entry-1")
+	s.awaitReady("entry-1")
 	conn := dial(t, s.callers["entry-1"])
 	put(t, conn, 1, shortJob)
 	qt.Assert(t, conn.(*net.TCPConn).CloseWrite(), qt.IsNil)
--- a/commands/port/port.go
+++ b/commands/port/port.go
@@ -16,7 +16,7 @@
 )
 
 // callLimit bounds one call to an entry's operators' port.
-const callLimit = 10 * time.Second
+const callTimeout = 10 * time.Second
 
 // Flags say which entry to ask, and as whom.
 func Flags(more ...cli.Flag) []cli.Flag {
@@ -36,7 +36,7 @@
 
 // Do does the call and decodes a success into out. An error is the server's own words.
 func Do(ctx context.Context, c *cli.Command, call Call, out any) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+c.String("operators")+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
--- a/commands/process_test.go
+++ b/commands/process_test.go
@@ -22,7 +22,7 @@
 )
 
 // patience bounds every wait of these tests; nothing is expected to take nearly as long.
-const patience = 30 * time.Second
+const waitLimit = 30 * time.Second
 
 // set is a whole set as separate processes.
 type set struct {
@@ -90,7 +90,7 @@
 }
 
 // slack are links' times that suit a machine on which much else runs.
-const slack = `
+const relaxedLinks = `
 [links]
 keep_alive = 200ms
 silence = 800ms
@@ -105,14 +105,14 @@
 		s.callers[name], s.ready[name] = freeAddress(), freeAddress()
 	}
 	s.run(name, []string{"entry"}, fmt.Sprintf("[node]\nname = %s\nlink = %s\nmetrics = %s\n[entry]\ncallers = %s\n%s\n[platform]\nstore = %s\n%s",
-		name, freeAddress(), s.ready[name], s.callers[name], options, s.store, slack))
+		name, freeAddress(), s.ready[name], s.callers[name], options, s.store, relaxedLinks))
 }
 
 func (s *set) agent(name string) {
 	up, control := freeAddress(), freeAddress()
 	s.run("upstream-"+name, []string{"standin", "upstream"}, fmt.Sprintf("[node]\nname = u-%s\n[standin_upstream]\nlisten = %s\nagent = %s\ncores = 8\nbeat = 200ms\n", name, up, control))
 	s.run(name, []string{"agent"}, fmt.Sprintf("[node]\nname = %s\nmetrics = %s\n[agent]\nupstream = %s\ncontrol = %s\ngrace = 10s\n[platform]\nstore = %s\n%s",
-		name, freeAddress(), up, control, s.store, slack))
+		name, freeAddress(), up, control, s.store, relaxedLinks))
 }
 
 // log returns what a process has logged.
@@ -139,8 +139,8 @@
 }
 
 // await waits until an entry is ready.
-func (s *set) await(name string) {
-	until := time.Now().Add(patience)
+func (s *set) awaitReady(name string) {
+	until := time.Now().Add(waitLimit)
 	for time.Now().Before(until) {
 		res, err := http.Get("http://" + s.ready[name] + "/readyz")
 		if err == nil {
@@ -171,8 +171,8 @@
 	for _, a := range []string{"agent-1", "agent-2", "agent-3"} {
 		s.agent(a)
 	}
-	s.await("entry-1")
-	s.await("entry-2")
+	s.awaitReady("entry-1")
+	s.awaitReady("entry-2")
 	for _, test := range []struct {
 		name  string
 		fault func()
@@ -191,7 +191,7 @@
 		{"agent is killed", func() { s.signal("agent-3", syscall.SIGKILL) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			qt.Assert(t, s.drive(t, test.fault, 4), qt.DeepEquals, map[api.State]int{verdict.Complete: 30})
+			qt.Assert(t, s.sendJobs(t, test.fault, 4), qt.DeepEquals, map[api.State]int{verdict.Complete: 30})
 		})
 	}
 }
@@ -205,8 +205,8 @@
 	s.logInto["entry-1"] = writer
 	s.entry("entry-1")
 	s.agent("agent-1")
-	s.await("entry-1")
-	states := s.drive(t, func() { qt.Assert(t, reader.Close(), qt.IsNil) }, 1)
+	s.awaitReady("entry-1")
+	states := s.sendJobs(t, func() { qt.Assert(t, reader.Close(), qt.IsNil) }, 1)
 	qt.Assert(t, states, qt.DeepEquals, map[api.State]int{verdict.Complete: 30})
 }
 
@@ -232,8 +232,8 @@
 			s := newSet(t)
 			s.entry("entry-1")
 			s.agent("agent-1")
-			s.await("entry-1")
-			states := s.drive(t, func() {
+			s.awaitReady("entry-1")
+			states := s.sendJobs(t, func() {
 				s.signal("entry-1", syscall.SIGTERM)
 				for _, next := range test.after {
 					time.Sleep(test.pause)
@@ -251,10 +251,10 @@
 }
 
 // drive sends 30 jobs within 300 ms and lets something go wrong meanwhile.
-func (s *set) drive(t *testing.T, fault func(), attempts int) map[api.State]int {
+func (s *set) sendJobs(t *testing.T, fault func(), attempts int) map[api.State]int {
 	c, err := client.New(client.Options{Entries: s.entries(), Attempts: attempts})
 	qt.Assert(t, err, qt.IsNil)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
 	var mu sync.Mutex
 	var group sync.WaitGroup
--- a/commands/reload.go
+++ b/commands/reload.go
@@ -13,22 +13,22 @@
 
 // reloadEvery is how often the settings file is read again: it may change without a signal, and a change should be
 // in force within a few seconds.
-const reloadEvery = 2 * time.Second
+const reloadInterval = 2 * time.Second
 
 // reloader puts changed settings in force while a process runs.
 type reloader struct {
 	file string
 	// now are the settings in force, last the file's newest content.
-	now   *settings.Settings
-	last  string
-	seeds func(seeds []string)
-	log   *logrus.Entry
+	current  *settings.Settings
+	lastText string
+	setSeeds func(seeds []string)
+	log      *logrus.Entry
 }
 
 // newReloader returns a reloader of a settings file; seeds is called with new seeds, and may be nil.
 func newReloader(file string, now *settings.Settings, seeds func([]string), log *logrus.Entry) *reloader {
 	raw, _ := os.ReadFile(file) //nolint:errcheck // it was read a moment ago; if not, the next look says so
-	return &reloader{file: file, now: now, last: string(raw), seeds: seeds, log: log}
+	return &reloader{file: file, current: now, lastText: string(raw), setSeeds: seeds, log: log}
 }
 
 // run looks at the file from time to time, and when it is asked to, until ctx ends.
@@ -36,7 +36,7 @@
 	if r.file == "" {
 		return
 	}
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -58,10 +58,10 @@
 		r.log.WithField("error", err.Error()).Warn("settings_unreadable")
 		return
 	}
-	if string(raw) == r.last {
+	if string(raw) == r.lastText {
 		return
 	}
-	r.last = string(raw)
+	r.lastText = string(raw)
 	next, err := settings.Parse(r.file, string(raw))
 	if err != nil {
 		r.log.WithField("error", err.Error()).Error("settings_refused")
@@ -72,19 +72,19 @@
 
 func (r *reloader) apply(next *settings.Settings) {
 	var changed []string
-	if !reflect.DeepEqual(next.Node.Seeds, r.now.Node.Seeds) {
+	if !reflect.DeepEqual(next.Node.Seeds, r.current.Node.Seeds) {
 		changed = append(changed, "node.seeds")
-		r.now.Node.Seeds = next.Node.Seeds
-		if r.seeds != nil {
-			r.seeds(next.Node.Seeds)
+		r.current.Node.Seeds = next.Node.Seeds
+		if r.setSeeds != nil {
+			r.setSeeds(next.Node.Seeds)
 		}
 	}
-	if next.Log.Level != r.now.Log.Level {
+	if next.Log.Level != r.current.Log.Level {
 		changed = append(changed, "log.level")
-		r.now.Log.Level = next.Log.Level
+		r.current.Log.Level = next.Log.Level
 		if level, err := logrus.ParseLevel(next.Log.Level); err == nil {
 			r.log.Logger.SetLevel(level)
 		}
 	}
-	r.log.WithFields(logrus.Fields{"in_force": changed, "needs_restart": !reflect.DeepEqual(next, r.now)}).Info("settings_reloaded")
+	r.log.WithFields(logrus.Fields{"in_force": changed, "needs_restart": !reflect.DeepEqual(next, r.current)}).Info("settings_reloaded")
 }
--- a/commands/signals_test.go
+++ b/commands/signals_test.go
@@ -20,13 +20,13 @@
 )
 
 // starting is a process that is sent signals while it starts.
-type starting struct {
+type startingProcess struct {
 	signals []syscall.Signal
 	drained chan struct{}
 }
 
 // Start listens, as far as its caller can tell, and is sent its signals then.
-func (s *starting) Start(context.Context) error {
+func (s *startingProcess) Start(context.Context) error {
 	for _, sig := range s.signals {
 		if err := syscall.Kill(os.Getpid(), sig); err != nil {
 			return err
@@ -37,10 +37,10 @@
 	return nil
 }
 
-func (s *starting) Drain() { close(s.drained) }
+func (s *startingProcess) Drain() { close(s.drained) }
 
 // series is a signal so many times.
-func series(sig syscall.Signal, n int) []syscall.Signal {
+func repeatSignal(sig syscall.Signal, n int) []syscall.Signal {
 	return slices.Repeat([]syscall.Signal{sig}, n)
 }
 
@@ -79,7 +79,7 @@
 		{"asked to end", []syscall.Signal{syscall.SIGTERM}, false},
 		{"told to reload, then asked to end", []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}, false},
 		{"told to reload", []syscall.Signal{syscall.SIGHUP}, true},
-		{"told to reload in series, then asked to end", append(series(syscall.SIGHUP, 20), syscall.SIGTERM), false},
+		{"told to reload in series, then asked to end", append(repeatSignal(syscall.SIGHUP, 20), syscall.SIGTERM), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "node.ini")
@@ -91,14 +91,14 @@
 			qt.Assert(t, err, qt.IsNil)
 			r := newReloader(file, set, nil, log)
 			qt.Assert(t, os.WriteFile(file, []byte("[log]\nlevel = debug\n"), 0o600), qt.IsNil)
-			p := &starting{test.signals, make(chan struct{})}
+			p := &startingProcess{test.signals, make(chan struct{})}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			done := make(chan error, 1)
 			go func() { done <- serve(ctx, p, r, log) }()
 			if test.reloaded {
 				// The file is also looked at without a signal, but later than this.
-				awaitText(t, out, "settings_reloaded", reloadEvery/2)
+				awaitText(t, out, "settings_reloaded", reloadInterval/2)
 				cancel()
 			}
 			select {
--- a/commands/standin.go
+++ b/commands/standin.go
@@ -39,7 +39,7 @@
 }
 
 // routesEvery is how often the file with the operator's configuration is looked at.
-const routesEvery = 200 * time.Millisecond
+const routesInterval = 200 * time.Millisecond
 
 func (standinCommand) store(ctx context.Context, c *cli.Command) error {
 	set, log, err := load(c, "store")
@@ -51,7 +51,7 @@
 		if err := putRoutes(store, file, nil); err != nil {
 			return cli.Exit(err.Error(), exit.Usage)
 		}
-		go followRoutes(ctx, store, file, log)
+		go watchRoutes(ctx, store, file, log)
 	}
 	return serveStandin(ctx, web.New("the store", set.Standin.Listen, store.Handler(), web.Internal), log)
 }
@@ -76,13 +76,13 @@
 }
 
 // followRoutes puts the file into the store whenever it changes, until ctx ends.
-func followRoutes(ctx context.Context, store *standin.Store, file string, log *logrus.Entry) {
+func watchRoutes(ctx context.Context, store *standin.Store, file string, log *logrus.Entry) {
 	last := ""
 	for ctx.Err() == nil {
 		if err := putRoutes(store, file, &last); err != nil {
 			log.WithField("error", err.Error()).Warn("routes_unusable")
 		}
-		time.Sleep(routesEvery)
+		time.Sleep(routesInterval)
 	}
 }
 
@@ -104,12 +104,12 @@
 
 // serveStandin runs a stand-in's server until the process is asked to end.
 func serveStandin(ctx context.Context, s *web.Server, log *logrus.Entry) error {
-	signals := takeSignals()
+	signals := notifySignals()
 	if err := s.Start(ctx); err != nil {
 		return cli.Exit(err.Error(), exit.Failed)
 	}
 	defer s.Stop()
 	log.WithField("address", s.Address()).Info("started")
-	awaitEnd(ctx, signals, log, nil)
+	awaitStop(ctx, signals, log, nil)
 	return nil
 }
--- a/internal/load/clock/clock.go
+++ b/internal/load/clock/clock.go
@@ -20,16 +20,16 @@
 func (c *Clock) Now() time.Time { return c.now }
 
 // Since is how long the clock has run.
-func (c *Clock) Since() time.Duration { return c.now.Sub(c.start) }
+func (c *Clock) Elapsed() time.Duration { return c.now.Sub(c.start) }
 
 // After does something after a while; of what is due at one moment, the first that was asked for comes first.
 func (c *Clock) After(d time.Duration, do func()) {
 	c.seq++
-	heap.Push(&c.queue, event{c.Since() + max(d, 0), c.seq, c.queue.put(do)})
+	heap.Push(&c.queue, event{c.Elapsed() + max(d, 0), c.seq, c.queue.put(do)})
 }
 
 // Next does the next thing that is due until a time after the start, and tells whether there was one.
-func (c *Clock) Next(until time.Duration) bool {
+func (c *Clock) RunNext(until time.Duration) bool {
 	if c.queue.Len() == 0 || c.queue.queue[0].at > until {
 		return false
 	}
@@ -54,8 +54,8 @@
 type events struct {
 	queue []event
 	// do holds what the events' slots stand for, free the slots that stand for nothing.
-	do   []func()
-	free []int
+	funcs []func()
+	free  []int
 }
 
 func (e *events) Len() int { return len(e.queue) }
@@ -76,17 +76,17 @@
 	if n := len(e.free); n > 0 {
 		slot = e.free[n-1]
 		e.free = e.free[:n-1]
-		e.do[slot] = do
+		e.funcs[slot] = do
 		return slot
 	}
-	e.do = append(e.do, do)
-	return len(e.do) - 1
+	e.funcs = append(e.funcs, do)
+	return len(e.funcs) - 1
 }
 
 // take returns what an event does, and frees its slot.
 func (e *events) take(slot int) func() {
-	do := e.do[slot]
-	e.do[slot] = nil
+	do := e.funcs[slot]
+	e.funcs[slot] = nil
 	e.free = append(e.free, slot)
 	return do
 }
--- a/internal/load/plan/plan.go
+++ b/internal/load/plan/plan.go
@@ -13,7 +13,7 @@
 	// Load multiplies the rates of all jobs.
 	Load float64
 	// Returns is how often a refused caller comes back, after the time that the refusal names.
-	Returns int
+	MaxReturns int
 	// Central: one dispatcher without delays takes the place of all entries. What it serves is the most that its policies
 	// can reach.
 	Central   bool
@@ -31,7 +31,7 @@
 	// Handling is what a process takes for a message at the most; it is drawn anew each time.
 	Handling time.Duration
 	// EntryLink is what an entry's VM can send, in megabits a second; zero is no bound.
-	EntryLink float64
+	EntryLinkMbits float64
 }
 
 // Zone is an availability zone.
@@ -63,14 +63,14 @@
 	Time           time.Duration
 	Spread, Uneven float64
 	// EstimateOff is by which part the estimate may be wrong.
-	EstimateOff float64
+	EstimateError float64
 	// Cores is what a task takes; jobs differ by a fifth.
 	Cores float64
 	// Stretch times the longest task and Target make up the objective; Deadline is when callers leave.
 	Stretch          float64
 	Target, Deadline time.Duration
 	// Text is the length of the job's text in bytes, which goes to each agent that gets one of its tasks.
-	Text int
+	TextBytes int
 	// Priority 0 goes first; Attempts is after how many failed runs of one task the job has failed.
 	Priority, Attempts int
 }
@@ -125,7 +125,7 @@
 	rate := p.Load * j.Rate * z.Share / shares
 	for i := range p.Faults {
 		f := &p.Faults[i]
-		if f.Kind == Burst && f.lasts(at) && (f.Zone == "" || f.Zone == z.Name) && (f.Job == "" || f.Job == j.Name) {
+		if f.Kind == Burst && f.isActive(at) && (f.Zone == "" || f.Zone == z.Name) && (f.Job == "" || f.Job == j.Name) {
 			rate *= f.Factor
 		}
 	}
@@ -133,13 +133,13 @@
 }
 
 // MostBurst bounds what callers of one zone send of a kind, in multiples of what those of all zones usually send.
-const MostBurst = 4
+const MaxBurst = 4
 
 // pressesTooMuch tells whether callers of a zone send more than MostBurst allows, some time after the start.
-func (p *Plan) pressesTooMuch(at time.Duration) bool {
+func (p *Plan) exceedsMaxBurst(at time.Duration) bool {
 	for i := range p.Zones {
 		for k := range p.Jobs {
-			if j := &p.Jobs[k]; p.Rate(&p.Zones[i], j, at) > MostBurst*p.Load*j.Rate {
+			if j := &p.Jobs[k]; p.Rate(&p.Zones[i], j, at) > MaxBurst*p.Load*j.Rate {
 				return true
 			}
 		}
@@ -148,16 +148,16 @@
 }
 
 // Leaving is the part of the callers that leave early, some time after the start.
-func (p *Plan) Leaving(at time.Duration) float64 {
+func (p *Plan) LeavingShare(at time.Duration) float64 {
 	for i := range p.Faults {
-		if f := &p.Faults[i]; f.Kind == CallersLeave && f.lasts(at) {
+		if f := &p.Faults[i]; f.Kind == CallersLeave && f.isActive(at) {
 			return f.Factor
 		}
 	}
 	return 0
 }
 
-func (f *Fault) lasts(at time.Duration) bool { return at >= f.At && at < f.At+f.For }
+func (f *Fault) isActive(at time.Duration) bool { return at >= f.At && at < f.At+f.For }
 
 // Cores is the room of all upstreams together.
 func (p *Plan) Cores() float64 {
@@ -165,7 +165,7 @@
 	n := 0
 	for i := range p.Zones {
 		for range p.Zones[i].Upstreams {
-			sum += p.KindOf(n).Cores
+			sum += p.UpstreamKind(n).Cores
 			n++
 		}
 	}
@@ -173,7 +173,7 @@
 }
 
 // KindOf is the kind of the upstream of a number.
-func (p *Plan) KindOf(n int) *Upstream {
+func (p *Plan) UpstreamKind(n int) *Upstream {
 	weights := 0
 	for i := range p.Upstreams {
 		weights += p.Upstreams[i].Weight
@@ -189,7 +189,7 @@
 }
 
 // Asked is how many cores the jobs keep busy on average, if each runs once and nowhere slowly.
-func (p *Plan) Asked() float64 {
+func (p *Plan) RequestedCores() float64 {
 	var sum float64
 	for i := range p.Jobs {
 		j := &p.Jobs[i]
--- a/internal/load/plan/read.go
+++ b/internal/load/plan/read.go
@@ -40,10 +40,10 @@
 	f.Section("run") // a section that is left out has its fields' defaults
 	f.Section("delays")
 	for _, s := range f.Sections() {
-		r.section(p, s)
+		r.readSection(p, s)
 	}
 	if len(r.problems) == 0 {
-		r.check(p)
+		r.checkPlan(p)
 	}
 	return p, r.err()
 }
@@ -60,7 +60,7 @@
 	return errors.New(strings.Join(r.problems, "\n"))
 }
 
-func (r *reader) problem(section, key, reason string) {
+func (r *reader) addProblem(section, key, reason string) {
 	e := Error{r.file, section, key, reason}
 	r.problems = append(r.problems, e.Error())
 }
@@ -73,94 +73,94 @@
 }
 
 // section reads one section; its first word says what it describes, the second names it.
-func (r *reader) section(p *Plan, s *ini.Section) {
+func (r *reader) readSection(p *Plan, s *ini.Section) {
 	f := &fields{r: r, s: s}
 	what, name, named := strings.Cut(s.Name(), " ")
 	name = strings.TrimSpace(name)
 	if wants := what != ini.DefaultSection && what != "run" && what != "delays"; wants && (!named || name == "") {
-		r.problem(s.Name(), "", "has no name")
+		r.addProblem(s.Name(), "", "has no name")
 		return
 	}
 	switch what {
 	case ini.DefaultSection:
 	case "run":
-		f.run(p)
+		f.readRun(p)
 	case "delays":
-		f.delays(p)
+		f.readDelays(p)
 	case "zone":
-		f.zone(p, name)
+		f.readZone(p, name)
 	case "upstream":
-		f.upstream(p, name)
+		f.readUpstream(p, name)
 	case "job":
-		f.job(p, name)
+		f.readJob(p, name)
 	case "fault":
-		f.fault(p, name)
+		f.readFault(p, name)
 	default:
-		r.problem(s.Name(), "", "no such section; there are run, delays, zone, upstream, job and fault")
+		r.addProblem(s.Name(), "", "no such section; there are run, delays, zone, upstream, job and fault")
 		return
 	}
 	for _, k := range s.KeyStrings() {
 		if !slices.Contains(f.used, k) {
-			r.problem(s.Name(), k, "no such field")
+			r.addProblem(s.Name(), k, "no such field")
 		}
 	}
 }
 
-func (f *fields) run(p *Plan) {
+func (f *fields) readRun(p *Plan) {
 	p.Seed = uint64(f.count("seed", 1, 1, 1<<40))
 	p.Length = f.time("length", 20*time.Second, time.Second, time.Hour)
 	p.Warmup = f.time("warmup", 2*time.Second, 0, time.Hour)
 	p.Load = f.number("load", 1, 0.01, 100)
-	p.Returns = f.count("returns", 0, 0, 100)
+	p.MaxReturns = f.count("returns", 0, 0, 100)
 }
 
-func (f *fields) delays(p *Plan) {
+func (f *fields) readDelays(p *Plan) {
 	const most = time.Second
 	p.Delays = Delays{
 		Near: f.time("near", 200*time.Microsecond, 0, most), Far: f.time("far", 500*time.Microsecond, 0, most),
 		Callers: f.time("callers", time.Millisecond, 0, most), Handling: f.time("handling", 300*time.Microsecond, 0, most),
-		EntryLink: f.number("entry_link_mbits", 0, 0, 1e6),
+		EntryLinkMbits: f.number("entry_link_mbits", 0, 0, 1e6),
 	}
 }
 
 // Bounds of a plan: the largest region that hillreel is built for, and enough beyond.
 const (
-	mostVMs   = 5000
-	mostTasks = 10_000
-	mostText  = 1 << 20
+	maxVMs       = 5000
+	maxTasks     = 10_000
+	maxTextBytes = 1 << 20
 )
 
-func (f *fields) zone(p *Plan, name string) {
+func (f *fields) readZone(p *Plan, name string) {
 	p.Zones = append(p.Zones, Zone{
-		Name: name, Entries: f.count("entries", 1, 0, mostVMs), Upstreams: f.count("upstreams", 1, 0, mostVMs),
+		Name: name, Entries: f.count("entries", 1, 0, maxVMs), Upstreams: f.count("upstreams", 1, 0, maxVMs),
 		Share: f.number("share", 1, 0, 1000),
 	})
 }
 
-func (f *fields) upstream(p *Plan, name string) {
+func (f *fields) readUpstream(p *Plan, name string) {
 	p.Upstreams = append(p.Upstreams, Upstream{
 		Name: name, Weight: f.count("weight", 1, 1, 1000), Cores: f.number("cores", 16, 0.1, 10_000),
 		Slowness: f.number("slowness", 1, 0.01, 1000),
 	})
 }
 
-func (f *fields) job(p *Plan, name string) {
+func (f *fields) readJob(p *Plan, name string) {
 	p.Jobs = append(p.Jobs, Job{
-		Name: name, Rate: f.number("rate", 0, 0, 1e6), Tasks: f.count("tasks", 1, 1, mostTasks),
-		MaxTasks: f.count("max_tasks", 4*f.count("tasks", 1, 1, mostTasks), 1, mostTasks),
+		Name: name, Rate: f.number("rate", 0, 0, 1e6), Tasks: f.count("tasks", 1, 1, maxTasks),
+		MaxTasks: f.count("max_tasks", 4*f.count("tasks", 1, 1, maxTasks), 1, maxTasks),
 		Time:     f.time("time", 0, time.Millisecond, time.Hour), Spread: f.number("spread", 0.4, 0, 3),
-		Uneven: f.number("uneven", 0.15, 0, 3), EstimateOff: f.number("estimate_off", 0.4, 0, 0.99),
+		Uneven: f.number("uneven", 0.15, 0, 3), EstimateError: f.number("estimate_off", 0.4, 0, 0.99),
 		Cores: f.number("cores", 1, 0.001, 10_000), Stretch: f.number("stretch", 1.6, 0, 100),
 		Target: f.time("target", 60*time.Millisecond, 0, time.Hour), Deadline: f.time("deadline", 4*time.Second, time.Millisecond, time.Hour),
-		Text:     f.count("text_bytes", 0, 0, mostText),
-		Priority: f.count("priority", 0, 0, 100), Attempts: f.count("attempts", 2, 1, 100),
+		TextBytes: f.count("text_bytes", 0, 0, maxTextBytes),
+		Priority:  f.count("priority", 0, 0, 100), Attempts: f.count("attempts", 2, 1, 100),
 	})
 }
 
-func (f *fields) fault(p *Plan, name string) {
+func (f *fields) readFault(p *Plan, name string) {
 	p.Faults = append(p.Faults, Fault{
 		Name: name, Kind: f.kind(), At: f.time("at", 0, 0, time.Hour), For: f.time("for", 5*time.Second, 0, time.Hour),
-		Zone: f.text("zone"), Job: f.text("job"), Count: f.count("count", 1, 1, mostVMs), Factor: f.number("factor", 1, 0, 1000),
+		Zone: f.text("zone"), Job: f.text("job"), Count: f.count("count", 1, 1, maxVMs), Factor: f.number("factor", 1, 0, 1000),
 	})
 }
 
@@ -172,7 +172,7 @@
 func (f *fields) kind() Kind {
 	k := Kind(f.text("kind"))
 	if !slices.Contains(Kinds, k) {
-		f.r.problem(f.s.Name(), "kind", fmt.Sprintf("%q is none of %v", k, Kinds))
+		f.r.addProblem(f.s.Name(), "kind", fmt.Sprintf("%q is none of %v", k, Kinds))
 	}
 	return k
 }
@@ -181,19 +181,19 @@
 func (f *fields) number(key string, def, least, most float64) float64 {
 	text := f.text(key)
 	if text == "" {
-		return f.inside(key, def, least, most)
+		return f.checkBounds(key, def, least, most)
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		f.r.problem(f.s.Name(), key, fmt.Sprintf("%q is not a number", text))
+		f.r.addProblem(f.s.Name(), key, fmt.Sprintf("%q is not a number", text))
 		return def
 	}
-	return f.inside(key, v, least, most)
+	return f.checkBounds(key, v, least, most)
 }
 
-func (f *fields) inside(key string, v, least, most float64) float64 {
+func (f *fields) checkBounds(key string, v, least, most float64) float64 {
 	if !(v >= least && v <= most) { // also refuses what is no number
-		f.r.problem(f.s.Name(), key, fmt.Sprintf("%v is not between %v and %v", v, least, most))
+		f.r.addProblem(f.s.Name(), key, fmt.Sprintf("%v is not between %v and %v", v, least, most))
 	}
 	return v
 }
@@ -206,10 +206,10 @@
 	}
 	v, err := strconv.Atoi(text)
 	if err != nil {
-		f.r.problem(f.s.Name(), key, fmt.Sprintf("%q is not a whole number", text))
+		f.r.addProblem(f.s.Name(), key, fmt.Sprintf("%q is not a whole number", text))
 		return def
 	}
-	f.inside(key, float64(v), float64(least), float64(most))
+	f.checkBounds(key, float64(v), float64(least), float64(most))
 	return v
 }
 
@@ -220,18 +220,18 @@
 	if text != "" {
 		var err error
 		if v, err = time.ParseDuration(text); err != nil {
-			f.r.problem(f.s.Name(), key, fmt.Sprintf("%q is not a time, such as 60ms", text))
+			f.r.addProblem(f.s.Name(), key, fmt.Sprintf("%q is not a time, such as 60ms", text))
 			return def
 		}
 	}
 	if v < least || v > most {
-		f.r.problem(f.s.Name(), key, fmt.Sprintf("%v is not between %v and %v", v, least, most))
+		f.r.addProblem(f.s.Name(), key, fmt.Sprintf("%v is not between %v and %v", v, least, most))
 	}
 	return v
 }
 
 // check refuses what no single field shows.
-func (r *reader) check(p *Plan) {
+func (r *reader) checkPlan(p *Plan) {
 	var entries, upstreams int
 	var share, rate float64
 	zones, jobs := map[string]bool{"": true}, map[string]bool{"": true}
@@ -245,30 +245,30 @@
 	}
 	switch {
 	case entries == 0 || upstreams == 0:
-		r.problem("zone", "entries, upstreams", "no zone has any")
+		r.addProblem("zone", "entries, upstreams", "no zone has any")
 	case share == 0:
-		r.problem("zone", "share", "no zone has callers")
+		r.addProblem("zone", "share", "no zone has callers")
 	case len(p.Upstreams) == 0:
-		r.problem("upstream", "", "no kind of upstream is described")
+		r.addProblem("upstream", "", "no kind of upstream is described")
 	case rate == 0:
-		r.problem("job", "rate", "no jobs are sent")
+		r.addProblem("job", "rate", "no jobs are sent")
 	case p.Warmup >= p.Length:
-		r.problem("run", "warmup", "takes the whole length")
+		r.addProblem("run", "warmup", "takes the whole length")
 	}
 	for i := range p.Faults {
-		if f := &p.Faults[i]; f.Kind == Burst && p.pressesTooMuch(f.At) {
-			r.problem("fault "+f.Name, "factor", fmt.Sprintf("one zone would send over %v times the usual jobs of all", MostBurst))
+		if f := &p.Faults[i]; f.Kind == Burst && p.exceedsMaxBurst(f.At) {
+			r.addProblem("fault "+f.Name, "factor", fmt.Sprintf("one zone would send over %v times the usual jobs of all", MaxBurst))
 		}
 	}
 	for _, f := range p.Faults {
 		if !zones[f.Zone] {
-			r.problem("fault "+f.Name, "zone", "no zone is called "+f.Zone)
+			r.addProblem("fault "+f.Name, "zone", "no zone is called "+f.Zone)
 		}
 		if f.Kind == ZoneCordoned && f.Zone == "" {
-			r.problem("fault "+f.Name, "zone", "must be given")
+			r.addProblem("fault "+f.Name, "zone", "must be given")
 		}
 		if !jobs[f.Job] {
-			r.problem("fault "+f.Name, "job", "no job is called "+f.Job)
+			r.addProblem("fault "+f.Name, "job", "no job is called "+f.Job)
 		}
 	}
 }
--- a/internal/load/report/plot.go
+++ b/internal/load/report/plot.go
@@ -39,8 +39,8 @@
 func points(r *world.Result, count func(*world.Tally) int) plotter.XYs {
 	var out plotter.XYs
 	for second, t := range r.Seconds {
-		if t.Asked > 0 {
-			out = append(out, plotter.XY{X: float64(second), Y: part(float64(count(t)), float64(t.Asked))})
+		if t.Sent > 0 {
+			out = append(out, plotter.XY{X: float64(second), Y: fraction(float64(count(t)), float64(t.Sent))})
 		}
 	}
 	return out
--- a/internal/load/report/same_test.go
+++ b/internal/load/report/same_test.go
@@ -17,7 +17,7 @@
 var sameWrite = flag.Bool("same-write", false, "write what the deployments of TestSame come to")
 
 // sameFile has it.
-const sameFile = "testdata/same.txt"
+const expectedFile = "testdata/same.txt"
 
 // TestSame: deployments that are played in virtual time come to the very figures that they came to when these were written last. A change that
 // only moves code leaves them; one that changes what is decided writes them anew (make same).
@@ -33,9 +33,9 @@
 	}
 	t.Log(b.String())
 	if *sameWrite {
-		qt.Assert(t, os.WriteFile(sameFile, b.Bytes(), 0o644), qt.IsNil)
+		qt.Assert(t, os.WriteFile(expectedFile, b.Bytes(), 0o644), qt.IsNil)
 	}
-	want, err := os.ReadFile(sameFile)
+	want, err := os.ReadFile(expectedFile)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, b.String(), qt.Equals, string(want))
 }
--- a/internal/load/world/cordon.go
+++ b/internal/load/world/cordon.go
@@ -11,7 +11,7 @@
 
 // cordonHeard is within which time each process has heard of a change of the cordons: by its feed of the store, which answers within
 // milliseconds, or from others.
-const cordonHeard = 50 * time.Millisecond
+const maxCordonDelay = 50 * time.Millisecond
 
 // cordon cordons a zone for a while.
 func (w *World) cordon(f *plan.Fault) {
@@ -26,25 +26,27 @@
 		w.cordoned = append(w.cordoned, ident.Zone(zone))
 	}
 	for _, e := range w.entries {
-		w.After(w.hears(), e.hearCordons)
+		w.After(w.drawCordonDelay(), e.applyCordons)
 	}
 	for _, a := range w.agents {
-		w.After(w.hears(), a.hearCordons)
+		w.After(w.drawCordonDelay(), a.applyCordons)
 	}
 }
 
 // hears draws when a process hears of the cordons, after they have changed or it has begun.
-func (w *World) hears() time.Duration { return time.Duration(w.faults.Int64N(int64(cordonHeard))) }
+func (w *World) drawCordonDelay() time.Duration {
+	return time.Duration(w.faultRNG.Int64N(int64(maxCordonDelay)))
+}
 
 // hearCordons lets an entry hear of the cordons as they are now.
-func (e *entry) hearCordons() {
+func (e *entry) applyCordons() {
 	if e.alive {
 		e.table.SetCordoned(e.w.Now(), e.w.cordoned)
 	}
 }
 
 // hearCordons lets an agent hear of the cordons as they are now.
-func (a *agent) hearCordons() {
+func (a *agent) applyCordons() {
 	if !a.alive {
 		return
 	}
@@ -52,6 +54,6 @@
 	if slices.Contains(a.w.cordoned, ident.Zone(a.zone)) {
 		state = upstream.ZoneCordoned
 	}
-	a.manager.SetZone(state)
-	a.manager.Flush(a.w.Now())
+	a.controller.SetZone(state)
+	a.controller.Flush(a.w.Now())
 }
--- a/internal/load/world/entry.go
+++ b/internal/load/world/entry.go
@@ -24,10 +24,10 @@
 	table *dispatch.Table
 	links map[*agent]*link
 	// order lists the agents in the order in which they were linked, so that runs repeat.
-	order   []*agent
-	waiting map[dispatch.CallerID]*request
+	linkOrder []*agent
+	waiting   map[dispatch.CallerID]*request
 	// sentAll is when the VM's link has sent all messages so far.
-	sentAll time.Time
+	linkFreeAt time.Time
 }
 
 // Bounds of an entry's table: the defaults of the settings are of that order.
@@ -45,11 +45,11 @@
 // start begins a life of the entry.
 func (e *entry) start() {
 	e.inc, e.alive = ident.Incarnation(e.w.rng.Uint64()|1), true
-	e.links, e.order = make(map[*agent]*link), nil
+	e.links, e.linkOrder = make(map[*agent]*link), nil
 	e.waiting = make(map[dispatch.CallerID]*request)
 	o := dispatch.Options{Timing: e.w.timing, Zone: ident.Zone(e.zone), MaxQueue: maxQueue, MaxTasks: maxTasks}
-	e.table = dispatch.New(o, orders{e}, answers{e}, notes{e.w}, e.w.rng.Uint64())
-	e.hearCordons()
+	e.table = dispatch.New(o, agentMessages{e}, answers{e}, countingObserver{e.w}, e.w.rng.Uint64())
+	e.applyCordons()
 	e.tick(e.inc)
 }
 
@@ -59,8 +59,8 @@
 		return
 	}
 	e.table.Tick(e.w.Now())
-	for _, a := range e.order {
-		if l := e.links[a]; l != nil && e.w.Now().Sub(l.pinged) >= e.w.timing.KeepAlive {
+	for _, a := range e.linkOrder {
+		if l := e.links[a]; l != nil && e.w.Now().Sub(l.lastPing) >= e.w.timing.KeepAlive {
 			e.ping(a, l)
 		}
 	}
@@ -68,9 +68,9 @@
 }
 
 func (e *entry) ping(a *agent, l *link) {
-	l.pinged = e.w.Now()
-	clock, pace := l.clock, e.table.Pace()
-	l.toAgent(shortMessage, func() { a.manager.Ping(e.w.Now(), e.inc, clock, pace) })
+	l.lastPing = e.w.Now()
+	clock, pace := l.agentClock, e.table.Pace()
+	l.sendToAgent(shortMessage, func() { a.controller.Ping(e.w.Now(), e.inc, clock, pace) })
 }
 
 // Sizes of messages, in bytes.
@@ -82,30 +82,30 @@
 )
 
 // transmit returns how long it takes until the VM's link has sent a message of so many bytes, after those before it.
-func (e *entry) transmit(size int) time.Duration {
-	mbits := e.w.plan.Delays.EntryLink
+func (e *entry) transmitTime(size int) time.Duration {
+	mbits := e.w.plan.Delays.EntryLinkMbits
 	if mbits == 0 {
 		return 0
 	}
 	now := e.w.Now()
-	if e.sentAll.Before(now) {
-		e.sentAll = now
+	if e.linkFreeAt.Before(now) {
+		e.linkFreeAt = now
 	}
-	e.sentAll = e.sentAll.Add(time.Duration(float64(8*size) / mbits * float64(time.Microsecond)))
-	return e.sentAll.Sub(now)
+	e.linkFreeAt = e.linkFreeAt.Add(time.Duration(float64(8*size) / mbits * float64(time.Microsecond)))
+	return e.linkFreeAt.Sub(now)
 }
 
 // lose lets the VM lose power for a while.
-func (e *entry) lose(down time.Duration) {
+func (e *entry) losePower(down time.Duration) {
 	e.alive = false
-	for _, a := range slices.Clone(e.order) {
+	for _, a := range slices.Clone(e.linkOrder) {
 		e.w.unlink(e.links[a])
 	}
 	for _, r := range e.waiting {
 		r.lost = true
 	}
 	for _, r := range sortedRequests(e.waiting) {
-		e.w.After(resend, r.again)
+		e.w.After(resendPause, r.resend)
 	}
 	e.waiting = nil
 	e.w.After(down, func() {
@@ -119,53 +119,55 @@
 }
 
 // orders carries an entry's orders to agents.
-type orders struct{ e *entry }
+type agentMessages struct{ e *entry }
 
 // Order sends an order.
-func (o orders) Order(to ident.Incarnation, order fleet.Order) {
+func (o agentMessages) Order(to ident.Incarnation, order fleet.Order) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Orders++
-		l.toAgent(headers+proto.Size(codec.Order(order)), func() { l.a.manager.Order(o.e.w.Now(), l.e.inc, order) })
+		l.sendToAgent(headers+proto.Size(codec.Order(order)), func() { l.a.controller.Order(o.e.w.Now(), l.e.inc, order) })
 	}
 }
 
 // Stop sends the wish to stop a run.
-func (o orders) Stop(to ident.Incarnation, r fleet.OrderedRun, why fleet.Reason) {
+func (o agentMessages) Stop(to ident.Incarnation, r fleet.OrderedRun, why fleet.Reason) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Stops++
-		l.toAgent(shortMessage, func() { l.a.manager.StopTask(o.e.w.Now(), l.e.inc, r, why) })
+		l.sendToAgent(shortMessage, func() { l.a.controller.StopTask(o.e.w.Now(), l.e.inc, r, why) })
 	}
 }
 
 // Holding tells an agent, for its other entries, which jobs this entry has held for long.
-func (o orders) AnnounceHeld(to ident.Incarnation, jobs []job.ID) {
+func (o agentMessages) AnnounceHeld(to ident.Incarnation, jobs []job.ID) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Takeovers++
-		l.toAgent(headers+proto.Size(codec.Holding(0, jobs)), func() { l.a.manager.Holding(o.e.w.Now(), l.e.inc, jobs) })
+		l.sendToAgent(headers+proto.Size(codec.Holding(0, jobs)), func() { l.a.controller.Holding(o.e.w.Now(), l.e.inc, jobs) })
 	}
 }
 
 // Release asks for a job that another entry holds.
-func (o orders) RequestRelease(to ident.Incarnation, id job.ID, holder ident.Incarnation) {
+func (o agentMessages) RequestRelease(to ident.Incarnation, id job.ID, holder ident.Incarnation) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Takeovers++
-		l.toAgent(shortMessage, func() { l.a.manager.Release(o.e.w.Now(), fleet.Takeover{Job: id, Holder: holder, NewHolder: l.e.inc}) })
+		l.sendToAgent(shortMessage, func() {
+			l.a.controller.Release(o.e.w.Now(), fleet.Takeover{Job: id, Holder: holder, NewHolder: l.e.inc})
+		})
 	}
 }
 
 // Released tells that nothing of a job remains.
-func (o orders) SendReleased(to ident.Incarnation, r fleet.Released) {
+func (o agentMessages) SendReleased(to ident.Incarnation, r fleet.Released) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Takeovers++
-		l.toAgent(shortMessage, func() { l.a.manager.Released(r) })
+		l.sendToAgent(shortMessage, func() { l.a.controller.Released(r) })
 	}
 }
 
 // Crashes tells nobody: VMs lose power with both, their agent and their upstream.
-func (orders) SendCrashes([]fleet.Crash) {}
+func (agentMessages) SendCrashes([]fleet.Crash) {}
 
 func (e *entry) linkTo(inc ident.Incarnation) *link {
-	for _, a := range e.order {
+	for _, a := range e.linkOrder {
 		if a.inc == inc {
 			return e.links[a]
 		}
@@ -183,22 +185,22 @@
 		return
 	}
 	delete(x.e.waiting, c)
-	x.e.w.After(x.e.w.toCaller(), func() { r.answered(a) })
+	x.e.w.After(x.e.w.callerDelay(), func() { r.handleAnswer(a) })
 }
 
 // notes counts what entries decide.
-type notes struct{ w *World }
+type countingObserver struct{ w *World }
 
 // Taken counts nothing: callers count what they send.
-func (notes) Taken(*dispatch.Request) {}
+func (countingObserver) Taken(*dispatch.Request) {}
 
 // Placed counts nothing: orders are counted as messages.
-func (notes) Placed(job.ID, ident.UpstreamName, *fleet.Order, time.Duration) {}
+func (countingObserver) Placed(job.ID, ident.UpstreamName, *fleet.Order, time.Duration) {}
 
 // Ended counts the runs that were refused for want of room.
-func (n notes) Ended(_ ident.UpstreamName, e fleet.End, _ string) {
+func (n countingObserver) Ended(_ ident.UpstreamName, e fleet.End, _ string) {
 	if e.Reason == fleet.NoRoom {
-		n.w.result.Raced++
+		n.w.result.NoRoomRefusals++
 	}
 	if e.Outcome != job.NotStarted && e.Outcome != job.Used {
 		n.w.result.Runs++
@@ -206,22 +208,23 @@
 }
 
 // Answered counts nothing: callers count what they hear.
-func (notes) Answered(job.ID, *route.Route, dispatch.Answer, dispatch.Summary) {}
+func (countingObserver) Answered(job.ID, *route.Route, dispatch.Answer, dispatch.Summary) {}
 
 // StopsAsked counts nothing.
-func (notes) StopsRequested(dispatch.Stops) {}
+func (countingObserver) StopsRequested(dispatch.Stops) {}
 
 // CameAgain counts nothing: callers count what they send.
-func (notes) Resubmitted(*dispatch.Request, dispatch.HeldJob) {}
+func (countingObserver) Resubmitted(*dispatch.Request, dispatch.HeldJob) {}
 
 // OutOfTouch and Belated count nothing: entries are never cut off here.
-func (notes) OutOfTouch(time.Duration, int) {}
+func (countingObserver) OutOfTouch(time.Duration, int) {}
 
 // Belated: see OutOfTouch.
-func (notes) Belated(*dispatch.Request) {}
+func (countingObserver) Belated(*dispatch.Request) {}
 
 // TakenOver counts nothing: the entries' logs have it.
-func (notes) TakeoverChanged(job.ID, ident.Incarnation, time.Duration, dispatch.TakeoverEvent) {}
+func (countingObserver) TakeoverChanged(job.ID, ident.Incarnation, time.Duration, dispatch.TakeoverEvent) {
+}
 
 // AgentChanged counts nothing.
-func (notes) AgentChanged(ident.UpstreamName, int, dispatch.AgentEvent) {}
+func (countingObserver) AgentChanged(ident.UpstreamName, int, dispatch.AgentEvent) {}
--- a/internal/load/world/link.go
+++ b/internal/load/world/link.go
@@ -14,19 +14,19 @@
 	a    *agent
 	open bool
 	// pinged is when the last keep-alive went out, clock the newest reading of the agent's clock.
-	pinged time.Time
-	clock  time.Duration
+	lastPing   time.Time
+	agentClock time.Duration
 	// nextA and nextE are when the newest message to either side arrives: order is kept.
-	nextA, nextE time.Time
+	nextAtAgent, nextAtEntry time.Time
 }
 
 func (w *World) link(e *entry, a *agent) {
-	l := &link{w: w, e: e, a: a, open: true, pinged: w.Now()}
+	l := &link{w: w, e: e, a: a, open: true, lastPing: w.Now()}
 	e.links[a], a.links[e] = l, l
-	e.order, a.order = append(e.order, a), append(a.order, e)
+	e.linkOrder, a.linkOrder = append(e.linkOrder, a), append(a.linkOrder, e)
 	e.table.HandleLinked(w.Now(), a.inc, a.name, ident.Zone(a.zone))
-	a.manager.EntryLinked(w.Now(), e.inc)
-	a.manager.Flush(w.Now())
+	a.controller.EntryLinked(w.Now(), e.inc)
+	a.controller.Flush(w.Now())
 }
 
 // unlink breaks a link. The sides that live notice it once they have heard nothing for a while.
@@ -35,29 +35,29 @@
 	e, a, entryLife, agentLife := l.e, l.a, l.e.inc, l.a.inc
 	delete(e.links, a)
 	delete(a.links, e)
-	e.order = slices.DeleteFunc(e.order, func(o *agent) bool { return o == a })
-	a.order = slices.DeleteFunc(a.order, func(o *entry) bool { return o == e })
+	e.linkOrder = slices.DeleteFunc(e.linkOrder, func(o *agent) bool { return o == a })
+	a.linkOrder = slices.DeleteFunc(a.linkOrder, func(o *entry) bool { return o == e })
 	w.After(w.links.LinkTimeout(), func() {
 		if e.alive && e.inc == entryLife {
 			e.table.HandleUnlinked(w.Now(), agentLife)
 		}
 		if a.alive && a.inc == agentLife {
-			a.manager.EntryUnlinked(w.Now(), entryLife, "silent")
-			a.manager.Flush(w.Now())
+			a.controller.EntryUnlinked(w.Now(), entryLife, "silent")
+			a.controller.Flush(w.Now())
 		}
 	})
 }
 
 // toAgent carries a message of so many bytes to the agent.
-func (l *link) toAgent(size int, f func()) {
-	l.carry(&l.nextA, l.e.transmit(size), func() { f(); l.a.manager.Flush(l.w.Now()) })
+func (l *link) sendToAgent(size int, f func()) {
+	l.deliver(&l.nextAtAgent, l.e.transmitTime(size), func() { f(); l.a.controller.Flush(l.w.Now()) })
 }
 
 // toEntry carries a message to the entry.
-func (l *link) toEntry(f func()) { l.carry(&l.nextE, 0, f) }
+func (l *link) sendToEntry(f func()) { l.deliver(&l.nextAtEntry, 0, f) }
 
 // carry carries a message that its sender's link has sent after a while.
-func (l *link) carry(next *time.Time, sent time.Duration, f func()) {
+func (l *link) deliver(next *time.Time, sent time.Duration, f func()) {
 	at := l.w.Now().Add(sent + l.w.delay(l.e.zone, l.a.zone))
 	if at.Before(*next) {
 		at = *next
--- a/internal/load/world/outage_test.go
+++ b/internal/load/world/outage_test.go
@@ -16,23 +16,23 @@
 // long as callers' pause (0.978 and 47 with these, which can't be told where callers wait as long as their jobs are).
 func TestOutage(t *testing.T) {
 	const least, mostRefused = 0.96, 95
-	served, refused := playFault(t, plan.Fault{Kind: plan.EntriesLost, Count: 4, At: counted, For: 1400 * time.Millisecond})
+	served, refused := playFault(t, plan.Fault{Kind: plan.EntriesLost, Count: 4, At: countFrom, For: 1400 * time.Millisecond})
 	qt.Check(t, served >= least, qt.IsTrue)
 	qt.Check(t, refused <= mostRefused, qt.IsTrue)
 }
 
 // counted is from when on playFault counts jobs.
-const counted = 6 * time.Second
+const countFrom = 6 * time.Second
 
 // playFault plays the usual load with a fault, three seeds, and says which part of the jobs was served in time and how many were refused.
 func playFault(t *testing.T, f plan.Fault) (served float64, refused int) {
 	var inTime, asked int
 	for seed := range uint64(3) {
 		p := example(t)
-		p.Seed, p.Length, p.Warmup = seed+1, 2*counted, counted
+		p.Seed, p.Length, p.Warmup = seed+1, 2*countFrom, countFrom
 		p.Faults = []plan.Fault{f}
 		all := play(t, p).All
-		inTime, asked, refused = inTime+all.InTime, asked+all.Asked, refused+all.Refused
+		inTime, asked, refused = inTime+all.InTime, asked+all.Sent, refused+all.Refused
 	}
 	served = float64(inTime) / float64(asked)
 	t.Logf("served %.3f in time of %d, refused %d", served, asked, refused)
--- a/internal/load/world/overload_test.go
+++ b/internal/load/world/overload_test.go
@@ -45,30 +45,30 @@
 			for i := range p.Zones {
 				check(t, p.Zones[i].Name, r.Zones[i], test.zone)
 			}
-			late := float64(r.All.Late) / float64(r.All.Asked)
+			late := float64(r.All.Late) / float64(r.All.Sent)
 			t.Logf("late %.3f", late)
 			qt.Check(t, late <= test.late, qt.IsTrue, qt.Commentf("late %.3f", late))
 
 			p.Central = true
-			most := play(t, p).All.Served()
+			most := play(t, p).All.ServedShare()
 			t.Logf("one dispatcher serves %.3f", most)
-			qt.Check(t, r.All.Served() >= ofCeiling*most, qt.IsTrue, qt.Commentf("%.3f, one dispatcher %.3f", r.All.Served(), most))
+			qt.Check(t, r.All.ServedShare() >= minShareOfCentral*most, qt.IsTrue, qt.Commentf("%.3f, one dispatcher %.3f", r.All.ServedShare(), most))
 		})
 	}
 }
 
 // ofCeiling is the least part of what one dispatcher serves, who sees all room at once.
-const ofCeiling = 0.95
+const minShareOfCentral = 0.95
 
 func check(t *testing.T, name string, tally *world.Tally, least float64) {
 	t.Helper()
-	t.Logf("%s: %.3f", name, tally.Served())
-	qt.Check(t, tally.Served() >= least, qt.IsTrue, qt.Commentf("%s: %.3f", name, tally.Served()))
+	t.Logf("%s: %.3f", name, tally.ServedShare())
+	qt.Check(t, tally.ServedShare() >= least, qt.IsTrue, qt.Commentf("%s: %.3f", name, tally.ServedShare()))
 }
 
 // TestRaces: twelve entries that press on as many upstreams as they can fill find room taken that they were told of, but not
 // more often than they find it: told of the same room at once, each run that begins costs 1.2 orders in vain, in turn 0.8.
-func TestRaces(t *testing.T) {
+func TestNoRoomRefusals(t *testing.T) {
 	const most = 1.0
 	p := example(t)
 	p.Load, p.Length, p.Warmup = 2*1.4, 8*time.Second, 2*time.Second
@@ -76,7 +76,7 @@
 		p.Zones[i].Entries, p.Zones[i].Upstreams = 3, 2*p.Zones[i].Upstreams
 	}
 	r := play(t, p)
-	inVain := float64(r.Raced) / float64(r.Runs)
-	t.Logf("%.2f orders in vain for each run, served %.3f", inVain, r.All.Served())
+	inVain := float64(r.NoRoomRefusals) / float64(r.Runs)
+	t.Logf("%.2f orders in vain for each run, served %.3f", inVain, r.All.ServedShare())
 	qt.Assert(t, inVain <= most, qt.IsTrue, qt.Commentf("%.2f", inVain))
 }
--- a/internal/load/world/restart_test.go
+++ b/internal/load/world/restart_test.go
@@ -15,7 +15,7 @@
 // 0.995 and 11 with an account of the new ones.
 func TestUpstreamsRestart(t *testing.T) {
 	const least, mostRefused = 0.98, 30
-	served, refused := playFault(t, plan.Fault{Kind: plan.UpstreamsRestart, Count: 4, At: counted - 2*time.Second, For: time.Second})
+	served, refused := playFault(t, plan.Fault{Kind: plan.UpstreamsRestart, Count: 4, At: countFrom - 2*time.Second, For: time.Second})
 	qt.Check(t, served >= least, qt.IsTrue)
 	qt.Check(t, refused <= mostRefused, qt.IsTrue)
 }
--- a/internal/load/world/result.go
+++ b/internal/load/world/result.go
@@ -24,16 +24,16 @@
 
 // Tally counts the outcomes of jobs.
 type Tally struct {
-	Asked, InTime, Late, Refused, Failed, Left int
+	Sent, InTime, Late, Refused, Failed, Left int
 	// Times are those of the answers.
-	Times *metrics.Histogram
+	ResponseTimes *metrics.Histogram
 }
 
-func newTally() *Tally { return &Tally{Times: metrics.NewHistogram()} }
+func newTally() *Tally { return &Tally{ResponseTimes: metrics.NewHistogram()} }
 
 // Served is the part of the jobs that were served in time. A caller that has left asks for nothing.
-func (t *Tally) Served() float64 {
-	if asked := t.Asked - t.Left; asked > 0 {
+func (t *Tally) ServedShare() float64 {
+	if asked := t.Sent - t.Left; asked > 0 {
 		return float64(t.InTime) / float64(asked)
 	}
 	return 1
@@ -50,7 +50,7 @@
 	Kinds, Zones, Seconds, Largest []*Tally
 	Messages                       Messages
 	// Raced counts runs that agents refused for want of room, Runs those that began.
-	Raced, Runs int
+	NoRoomRefusals, Runs int
 	// Used and Wasted are core-seconds: of all runs, and of those that did not end well.
 	Used, Wasted float64
 	// Cores is the room of all upstreams.
@@ -75,7 +75,7 @@
 }
 
 // largestPart of a kind's jobs is looked at by itself: wide and long ones are the first to lose where room is scarce.
-const largestPart = 10
+const largestDivisor = 10
 
 // tallyLargest counts the largest jobs of each kind.
 func (r *Result) tallyLargest() {
@@ -89,9 +89,9 @@
 		all := byKind[&r.plan.Jobs[i]]
 		slices.SortFunc(all, func(a, b *submission) int { return cmp.Or(cmp.Compare(b.work(), a.work()), cmp.Compare(a.id, b.id)) })
 		t := newTally()
-		for _, s := range all[:len(all)/largestPart] {
-			t.Asked++
-			t.count(s.outcome, s.took)
+		for _, s := range all[:len(all)/largestDivisor] {
+			t.Sent++
+			t.addOutcome(s.outcome, s.took)
 		}
 		r.Largest = append(r.Largest, t)
 	}
@@ -100,7 +100,7 @@
 // work is what a job takes, in core-seconds.
 func (s *submission) work() float64 {
 	var sum float64
-	for _, t := range s.times {
+	for _, t := range s.taskTimes {
 		sum += s.cores * t.Seconds()
 	}
 	return sum
@@ -112,34 +112,34 @@
 	if !s.counted {
 		return
 	}
-	s.tally = []*Tally{r.All, r.Seconds[int(s.w.elapsed()/time.Second)]}
+	s.tallies = []*Tally{r.All, r.Seconds[int(s.w.elapsed()/time.Second)]}
 	for i := range r.plan.Jobs {
 		if &r.plan.Jobs[i] == s.kind {
-			s.tally = append(s.tally, r.Kinds[i])
+			s.tallies = append(s.tallies, r.Kinds[i])
 		}
 	}
 	for i := range r.plan.Zones {
 		if &r.plan.Zones[i] == s.zone {
-			s.tally = append(s.tally, r.Zones[i])
+			s.tallies = append(s.tallies, r.Zones[i])
 		}
 	}
-	for _, t := range s.tally {
-		t.Asked++
+	for _, t := range s.tallies {
+		t.Sent++
 	}
 }
 
 // end counts what becomes of a job.
-func (s *submission) end(o outcome) {
-	if s.over {
+func (s *submission) finish(o outcome) {
+	if s.done {
 		return
 	}
-	s.over, s.outcome, s.took = true, o, s.w.Now().Sub(s.first)
-	for _, t := range s.tally {
-		t.count(o, s.took)
+	s.done, s.outcome, s.took = true, o, s.w.Now().Sub(s.firstSent)
+	for _, t := range s.tallies {
+		t.addOutcome(o, s.took)
 	}
 }
 
-func (t *Tally) count(o outcome, took time.Duration) {
+func (t *Tally) addOutcome(o outcome, took time.Duration) {
 	switch o {
 	case inTime:
 		t.InTime++
@@ -153,6 +153,6 @@
 		t.Left++
 	}
 	if o == inTime || o == late {
-		t.Times.Record(took)
+		t.ResponseTimes.Record(took)
 	}
 }
--- a/internal/load/world/thin_test.go
+++ b/internal/load/world/thin_test.go
@@ -13,9 +13,9 @@
 // each run; with texts compressed 0.980 and 0.933, and 1.05 orders.
 func TestThinLinks(t *testing.T) {
 	p := example(t)
-	p.Length, p.Warmup, p.Delays.EntryLink = 20*time.Second, 4*time.Second, 2
+	p.Length, p.Warmup, p.Delays.EntryLinkMbits = 20*time.Second, 4*time.Second, 2
 	for i := range p.Jobs {
-		p.Jobs[i].Text = 1200
+		p.Jobs[i].TextBytes = 1200
 	}
 	r := play(t, p)
 	perRun := float64(r.Messages.Orders) / float64(r.Runs)
--- a/internal/load/world/upstream.go
+++ b/internal/load/world/upstream.go
@@ -22,52 +22,52 @@
 	up   bool
 	life int
 	// named counts the lives that had a new id.
-	named int
-	id    ident.UpstreamID
-	born  time.Time
-	token call.Token
-	runs  map[job.TaskID]*simRun
-	ends  []call.Finished
-	n     uint64
-	beats uint64
+	idCount      int
+	id           ident.UpstreamID
+	born         time.Time
+	token        call.Token
+	runs         map[job.TaskID]*simRun
+	ends         []call.Finished
+	lastEnd      uint64
+	heartbeatSeq uint64
 	// waiters answer holds that wait for an end.
 	waiters []func()
 	// slow times as long take tasks that start now; they never end while hang is set, and fail at once while fail is.
-	slow       float64
+	slowFactor float64
 	hang, fail bool
 }
 
 // simRun is a run at a simulated upstream.
 type simRun struct {
-	task job.TaskID
-	run  job.Run
-	from time.Time
+	task      job.TaskID
+	run       job.Run
+	startedAt time.Time
 	// takes is how long it runs; zero is for ever.
-	takes    time.Duration
-	how      call.Result
+	duration time.Duration
+	result   call.Result
 	cores    float64
 	stopping bool
 }
 
 // stopTime is how long a run that is stopped goes on at the most: the platform's stop_ms.
-const stopTime = 50 * time.Millisecond
+const maxStopTime = 50 * time.Millisecond
 
 // beatEvery is the pause between heartbeats.
-const beatEvery = 500 * time.Millisecond
+const heartbeatInterval = 500 * time.Millisecond
 
-func (u *simUpstream) begin() {
+func (u *simUpstream) startLife() {
 	u.life++
-	u.up, u.born, u.id = true, u.w.Now(), ident.UpstreamID(fmt.Sprintf("%s-%d", u.a.name, u.named))
+	u.up, u.born, u.id = true, u.w.Now(), ident.UpstreamID(fmt.Sprintf("%s-%d", u.a.name, u.idCount))
 	u.runs, u.ends, u.waiters = make(map[job.TaskID]*simRun), nil, nil
-	u.n, u.beats, u.token = 0, 0, 0
-	u.beat(u.life)
+	u.lastEnd, u.heartbeatSeq, u.token = 0, 0, 0
+	u.sendHeartbeats(u.life)
 }
 
 // crash ends whatever runs.
 func (u *simUpstream) crash() {
 	u.up = false
 	for _, r := range u.runs {
-		u.w.result.Wasted += r.cores * u.w.Now().Sub(r.from).Seconds()
+		u.w.result.Wasted += r.cores * u.w.Now().Sub(r.startedAt).Seconds()
 	}
 	u.runs = nil
 }
@@ -77,54 +77,54 @@
 	u.crash()
 	u.w.After(down, func() {
 		if !u.up && u.a.alive {
-			u.begin()
+			u.startLife()
 		}
 	})
 }
 
 // told is when the present life began, as it says so.
-func (u *simUpstream) told() ident.Born { return ident.Born(u.born.UnixMilli()) }
+func (u *simUpstream) bornMillis() ident.Born { return ident.Born(u.born.UnixMilli()) }
 
 func (u *simUpstream) clock() call.Clock { return call.Clock(u.w.Now().Sub(u.born)) }
 
 // beat sends heartbeats for one life.
-func (u *simUpstream) beat(life int) {
+func (u *simUpstream) sendHeartbeats(life int) {
 	if u.life != life || !u.up {
 		return
 	}
-	u.beats++
+	u.heartbeatSeq++
 	total := job.Resources{CPU: int64(u.kind.Cores * milli), Mem: 1 << 30}
-	u.a.manager.Heartbeat(u.w.Now(), lives.Heartbeat{
-		Upstream: fleet.Upstream{ID: u.id, Service: service, Total: total}, Born: u.told(), Sequence: u.beats, Clock: u.clock(),
+	u.a.controller.Heartbeat(u.w.Now(), lives.Heartbeat{
+		Upstream: fleet.Upstream{ID: u.id, Service: service, Total: total}, Born: u.bornMillis(), Sequence: u.heartbeatSeq, Clock: u.clock(),
 	})
-	u.w.After(beatEvery, func() { u.beat(life) })
+	u.w.After(heartbeatInterval, func() { u.sendHeartbeats(life) })
 }
 
 // start handles a start.
 func (u *simUpstream) start(c call.Start) call.Answer {
-	if a := u.admits(c.Header); a != call.OK {
+	if a := u.checkHeader(c.Header); a != call.OK {
 		return a
 	}
 	s := u.w.result.jobs[c.Task.Job]
 	r := &simRun{
-		task: c.Task, run: c.Run, from: u.w.Now(), how: call.ResultDone, cores: s.cores,
-		takes: time.Duration(float64(s.times[c.Task.Index]) * u.kind.Slowness * u.slow),
+		task: c.Task, run: c.Run, startedAt: u.w.Now(), result: call.ResultDone, cores: s.cores,
+		duration: time.Duration(float64(s.taskTimes[c.Task.Index]) * u.kind.Slowness * u.slowFactor),
 	}
 	switch {
 	case u.fail:
-		r.how, r.takes = call.ResultFailed, time.Millisecond
+		r.result, r.duration = call.ResultFailed, time.Millisecond
 	case u.hang:
-		r.takes = 0
+		r.duration = 0
 	}
 	u.runs[c.Task] = r
-	if r.takes > 0 {
-		u.w.After(r.takes, func() { u.finish(r, r.how) })
+	if r.duration > 0 {
+		u.w.After(r.duration, func() { u.finish(r, r.result) })
 	}
 	return call.OK
 }
 
 // admits checks a call's life and token.
-func (u *simUpstream) admits(h call.Header) call.Answer {
+func (u *simUpstream) checkHeader(h call.Header) call.Answer {
 	switch {
 	case !u.up:
 		return call.Unanswered
@@ -139,12 +139,12 @@
 
 // stop handles a stop.
 func (u *simUpstream) stop(c call.Stop) call.Answer {
-	if a := u.admits(c.Header); a != call.OK {
+	if a := u.checkHeader(c.Header); a != call.OK {
 		return a
 	}
 	if r := u.runs[c.Task]; r != nil && r.run <= c.Run && !r.stopping {
 		r.stopping = true
-		u.w.After(time.Duration(u.w.rng.Int64N(int64(stopTime))), func() { u.finish(r, call.ResultStopped) })
+		u.w.After(time.Duration(u.w.rng.Int64N(int64(maxStopTime))), func() { u.finish(r, call.ResultStopped) })
 	}
 	return call.OK
 }
@@ -155,13 +155,13 @@
 		return
 	}
 	delete(u.runs, r.task)
-	work := r.cores * u.w.Now().Sub(r.from).Seconds()
+	work := r.cores * u.w.Now().Sub(r.startedAt).Seconds()
 	u.w.result.Used += work
 	if how != call.ResultDone {
 		u.w.result.Wasted += work
 	}
-	u.n++
-	u.ends = append(u.ends, call.Finished{Number: u.n, Task: r.task, Run: r.run, Result: how})
+	u.lastEnd++
+	u.ends = append(u.ends, call.Finished{Number: u.lastEnd, Task: r.task, Run: r.run, Result: how})
 	waiters := u.waiters
 	u.waiters = nil
 	for _, answer := range waiters {
@@ -171,7 +171,7 @@
 
 // hold handles a hold; it is answered once a run ends, or when its wait is over.
 func (u *simUpstream) hold(c call.Hold, answer func(call.HoldResult)) {
-	if a := u.admits(c.Header); a != call.OK {
+	if a := u.checkHeader(c.Header); a != call.OK {
 		answer(call.HoldResult{Answer: a, Clock: u.clock()})
 		return
 	}
@@ -179,14 +179,14 @@
 		u.ends = u.ends[1:]
 	}
 	if len(u.ends) > 0 || c.Wait == 0 {
-		answer(u.held())
+		answer(u.holdResult())
 		return
 	}
 	answered, life := false, u.life
 	reply := func() {
 		if !answered && u.up && u.life == life {
 			answered = true
-			answer(u.held())
+			answer(u.holdResult())
 		}
 	}
 	u.waiters = append(u.waiters, reply)
@@ -194,12 +194,12 @@
 }
 
 // held lists what runs and what has ended.
-func (u *simUpstream) held() call.HoldResult {
-	h := call.HoldResult{Answer: call.OK, Clock: u.clock(), Born: u.told(), Finished: slices.Clone(u.ends)}
+func (u *simUpstream) holdResult() call.HoldResult {
+	h := call.HoldResult{Answer: call.OK, Clock: u.clock(), Born: u.bornMillis(), Finished: slices.Clone(u.ends)}
 	for _, r := range u.runs {
 		percent := 0
-		if r.takes > 0 {
-			percent = min(int(100*u.w.Now().Sub(r.from)/r.takes), 99)
+		if r.duration > 0 {
+			percent = min(int(100*u.w.Now().Sub(r.startedAt)/r.duration), 99)
 		}
 		h.Running = append(h.Running, call.Running{Task: r.task, Run: r.run, Percent: percent})
 	}
--- a/internal/load/world/world.go
+++ b/internal/load/world/world.go
@@ -22,11 +22,11 @@
 	service = ident.Service("load")
 	// afterwards is how long what is under way at the end is waited for: the longest deadline of the users, and a lost
 	// upstream's time.
-	afterwards = 10 * time.Second
+	drainTime = 10 * time.Second
 	// resend is when a caller sends a job again after it has lost its entry, as the platform's callers do.
-	resend = 1300 * time.Millisecond
+	resendPause = 1300 * time.Millisecond
 	// begins is when callers begin to send: by then all links stand and pauses of the start are over.
-	begins = time.Second
+	loadStart = time.Second
 )
 
 // World is one experiment.
@@ -37,7 +37,7 @@
 	timing fleet.Timing
 	// rng draws delays and what processes draw; load draws what callers send, and faults which VMs are concerned, so that
 	// two policies meet the same.
-	rng, load, faults *rand.Rand
+	rng, loadRNG, faultRNG *rand.Rand
 	// cordoned are the zones that operators have cordoned.
 	cordoned []ident.Zone
 	entries  []*entry
@@ -55,13 +55,13 @@
 	}
 	w := &World{
 		Clock: clock.New(time.Unix(1_000_000, 0)), plan: p, links: set.Links, timing: set.Links.Timing(),
-		rng: rand.New(rand.NewPCG(p.Seed, 1)), load: rand.New(rand.NewPCG(p.Seed, 2)), faults: rand.New(rand.NewPCG(p.Seed, 3)), routes: make(map[string]route.Route),
+		rng: rand.New(rand.NewPCG(p.Seed, 1)), loadRNG: rand.New(rand.NewPCG(p.Seed, 2)), faultRNG: rand.New(rand.NewPCG(p.Seed, 3)), routes: make(map[string]route.Route),
 	}
 	w.result = newResult(p)
 	w.build()
-	w.After(begins, w.begin)
-	end := begins + p.Length + afterwards
-	for w.Next(end) {
+	w.After(loadStart, w.startLoad)
+	end := loadStart + p.Length + drainTime
+	for w.RunNext(end) {
 	}
 	w.result.Cores = p.Cores()
 	w.result.tallyLargest()
@@ -95,20 +95,20 @@
 }
 
 // begin lets callers send, and things go wrong.
-func (w *World) begin() {
+func (w *World) startLoad() {
 	for i := range w.plan.Zones {
 		for k := range w.plan.Jobs {
-			w.arrivals(&w.plan.Zones[i], &w.plan.Jobs[k])
+			w.scheduleArrivals(&w.plan.Zones[i], &w.plan.Jobs[k])
 		}
 	}
 	for i := range w.plan.Faults {
 		f := &w.plan.Faults[i]
-		w.After(f.At, func() { w.fault(f) })
+		w.After(f.At, func() { w.applyFault(f) })
 	}
 }
 
 // elapsed is how long callers have been sending.
-func (w *World) elapsed() time.Duration { return w.Since() - begins }
+func (w *World) elapsed() time.Duration { return w.Elapsed() - loadStart }
 
 // delay draws the time of a message between two availability zones.
 func (w *World) delay(from, to string) time.Duration {
@@ -119,11 +119,11 @@
 	if from == to {
 		d = w.plan.Delays.Near
 	}
-	return d + w.handling()
+	return d + w.handlingDelay()
 }
 
 // handling draws what a process takes for a message.
-func (w *World) handling() time.Duration {
+func (w *World) handlingDelay() time.Duration {
 	if w.plan.Central || w.plan.Delays.Handling == 0 {
 		return 0
 	}
@@ -131,11 +131,11 @@
 }
 
 // fault lets something go wrong; bursts and callers that leave are looked up by those who send.
-func (w *World) fault(f *plan.Fault) {
+func (w *World) applyFault(f *plan.Fault) {
 	switch f.Kind {
 	case plan.UpstreamsLost:
 		for _, a := range w.chooseAgents(f) {
-			a.lose(f.For)
+			a.losePower(f.For)
 		}
 	case plan.UpstreamsRestart:
 		for _, a := range w.chooseAgents(f) {
@@ -143,8 +143,8 @@
 		}
 	case plan.UpstreamsSlow:
 		for _, a := range w.chooseAgents(f) {
-			a.up.slow = f.Factor
-			w.After(f.For, func() { a.up.slow = 1 })
+			a.up.slowFactor = f.Factor
+			w.After(f.For, func() { a.up.slowFactor = 1 })
 		}
 	case plan.UpstreamsHang:
 		for _, a := range w.chooseAgents(f) {
@@ -167,7 +167,7 @@
 // chooseAgents draws the upstreams that a fault concerns.
 func (w *World) chooseAgents(f *plan.Fault) []*agent {
 	var out []*agent
-	for _, i := range w.faults.Perm(len(w.agents)) {
+	for _, i := range w.faultRNG.Perm(len(w.agents)) {
 		a := w.agents[i]
 		if len(out) < f.Count && a.alive && (f.Zone == "" || f.Zone == a.zone) {
 			out = append(out, a)
@@ -179,16 +179,16 @@
 // loseEntries lets entries lose power; one always stays.
 func (w *World) loseEntries(f *plan.Fault) {
 	n := 0
-	for _, i := range w.faults.Perm(len(w.entries)) {
+	for _, i := range w.faultRNG.Perm(len(w.entries)) {
 		e := w.entries[i]
-		if n < f.Count && e.alive && w.living() > 1 && (f.Zone == "" || f.Zone == e.zone) {
-			e.lose(f.For)
+		if n < f.Count && e.alive && w.countLiving() > 1 && (f.Zone == "" || f.Zone == e.zone) {
+			e.losePower(f.For)
 			n++
 		}
 	}
 }
 
-func (w *World) living() int {
+func (w *World) countLiving() int {
 	n := 0
 	for _, e := range w.entries {
 		if e.alive {
--- a/internal/load/world/world_test.go
+++ b/internal/load/world/world_test.go
@@ -67,17 +67,17 @@
 			test.fault.At, test.fault.For = from, lasts
 			p.Faults = []plan.Fault{test.fault}
 			a := play(t, p).All
-			qt.Assert(t, a.InTime+a.Late+a.Refused+a.Failed+a.Left, qt.Equals, a.Asked)
-			qt.Assert(t, a.Served() >= test.least && a.Served() <= test.most, qt.IsTrue, qt.Commentf("served %.3f", a.Served()))
+			qt.Assert(t, a.InTime+a.Late+a.Refused+a.Failed+a.Left, qt.Equals, a.Sent)
+			qt.Assert(t, a.ServedShare() >= test.least && a.ServedShare() <= test.most, qt.IsTrue, qt.Commentf("served %.3f", a.ServedShare()))
 		})
 	}
 }
 
 // TestReturns: a refused caller that comes back is served once there is room again.
-func TestReturns(t *testing.T) {
+func TestRefusedCallersReturn(t *testing.T) {
 	refused := func(returns int) int {
 		p := example(t)
-		p.Returns = returns
+		p.MaxReturns = returns
 		p.Faults = []plan.Fault{{Kind: plan.Burst, At: 4 * time.Second, For: time.Second, Factor: 4}}
 		return play(t, p).All.Refused
 	}
--- a/internal/proof/schedule/calls_test.go
+++ b/internal/proof/schedule/calls_test.go
@@ -71,7 +71,7 @@
 
 // slices lets an agent run for a part of each slice until a moment.
 func (c *calls) slices(a *agentProc, until time.Duration) {
-	if c.w.Since() > time.Second+until {
+	if c.w.Elapsed() > time.Second+until {
 		return
 	}
 	a.disturb(slice)
--- a/internal/proof/schedule/store_test.go
+++ b/internal/proof/schedule/store_test.go
@@ -31,7 +31,7 @@
 func newSimStore(w *world) *simStore { return &simStore{Store: memory.New(), w: w} }
 
 // clock is the store's steady clock.
-func (s *simStore) clock() time.Duration { return s.w.Since() + time.Minute }
+func (s *simStore) clock() time.Duration { return s.w.Elapsed() + time.Minute }
 
 // commit does a transaction if its conditions hold.
 func (s *simStore) commit(t rows.Txn) bool {
--- a/internal/proof/schedule/unasked_test.go
+++ b/internal/proof/schedule/unasked_test.go
@@ -56,11 +56,11 @@
 	if cancelled.IsZero() {
 		return
 	}
-	since := w.Since()
+	since := w.Elapsed()
 	for _, from := range []time.Time{cancelled, r.from} {
 		since = min(since, w.Now().Sub(from))
 	}
-	if since = min(since, w.Since()-calm); since > unaskedFor {
+	if since = min(since, w.Elapsed()-calm); since > unaskedFor {
 		w.violate("%v runs on though its job was cancelled %v ago", r.task, w.Now().Sub(cancelled))
 	}
 }
--- a/internal/proof/schedule/world_test.go
+++ b/internal/proof/schedule/world_test.go
@@ -167,7 +167,7 @@
 
 // run lets time pass until a moment after the start, or until something is broken.
 func (w *world) run(until time.Duration) {
-	for w.broken == "" && w.Next(until) {
+	for w.broken == "" && w.RunNext(until) {
 	}
 	if w.broken == "" {
 		w.Advance(until)
@@ -183,5 +183,5 @@
 }
 
 func (w *world) note(format string, args ...any) {
-	w.log = append(w.log, fmt.Sprintf("%8.4f ", w.Since().Seconds())+fmt.Sprintf(format, args...))
+	w.log = append(w.log, fmt.Sprintf("%8.4f ", w.Elapsed().Seconds())+fmt.Sprintf(format, args...))
 }
