--- a/internal/load/clock/clock.go
+++ b/internal/load/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock is a clock whose time passes only as events are handled, for experiments in virtual time.
+// Package clock implements a virtual clock for simulations: its time advances only when an event runs.
 package clock
 
 import (
@@ -6,29 +6,31 @@
 	"time"
 )
 
-// Clock holds what is to happen, and when.
+// Clock is a virtual clock with a queue of scheduled events.
 type Clock struct {
 	start, now time.Time
 	queue      events
 	seq        int
 }
 
-// New returns a Clock that stands at a moment.
+// New returns a Clock whose time is start.
 func New(start time.Time) *Clock { return &Clock{start: start, now: start} }
 
-// Now is the present moment.
+// Now returns the current virtual time.
 func (c *Clock) Now() time.Time { return c.now }
 
-// Since is how long the clock has run.
+// Elapsed returns the virtual time that has passed since the start.
 func (c *Clock) Elapsed() time.Duration { return c.now.Sub(c.start) }
 
-// After does something after a while; of what is due at one moment, the first that was asked for comes first.
+// After schedules do to run d from now; a negative d counts as zero. Events that are due at the same time run in the order in
+// which they were scheduled.
 func (c *Clock) After(d time.Duration, do func()) {
 	c.seq++
 	heap.Push(&c.queue, event{c.Elapsed() + max(d, 0), c.seq, c.queue.put(do)})
 }
 
-// Next does the next thing that is due until a time after the start, and tells whether there was one.
+// RunNext runs the next event that is due at or before until, a time since the start, and sets the clock to its time.
+// It returns false if there is no such event.
 func (c *Clock) RunNext(until time.Duration) bool {
 	if c.queue.Len() == 0 || c.queue.queue[0].at > until {
 		return false
@@ -39,21 +41,21 @@
 	return true
 }
 
-// Advance lets time pass until a time after the start, once nothing is due before it.
+// Advance sets the clock to until, a time since the start. No event may be due before that time.
 func (c *Clock) Advance(until time.Duration) { c.now = c.start.Add(until) }
 
-// event is something that happens at a time. It holds no pointer, so that moving it in the queue costs the garbage
-// collector nothing.
+// event is a scheduled function. It holds a slot number instead of a pointer, so that moving events in the queue causes no
+// work for the garbage collector.
 type event struct {
 	at   time.Duration
 	seq  int
 	slot int
 }
 
-// events is a queue of what is to happen, the next first.
+// events is a heap of events, ordered by time and then by sequence number.
 type events struct {
 	queue []event
-	// do holds what the events' slots stand for, free the slots that stand for nothing.
+	// funcs holds the function of each event by its slot; free lists the unused slots.
 	funcs []func()
 	free  []int
 }
@@ -71,7 +73,7 @@
 	return last
 }
 
-// put stores what an event does.
+// put stores the function of an event and returns its slot.
 func (e *events) put(do func()) (slot int) {
 	if n := len(e.free); n > 0 {
 		slot = e.free[n-1]
@@ -83,7 +85,7 @@
 	return len(e.funcs) - 1
 }
 
-// take returns what an event does, and frees its slot.
+// take returns the function in slot and frees the slot.
 func (e *events) take(slot int) func() {
 	do := e.funcs[slot]
 	e.funcs[slot] = nil
--- a/internal/load/plan/plan.go
+++ b/internal/load/plan/plan.go
@@ -1,21 +1,21 @@
-// Package plan describes a deployment and its load for experiments in virtual time: which VMs there are, which jobs callers
-// send, and what goes wrong.
+// Package plan describes a deployment for a simulation in virtual time: its VMs, the jobs that callers send, and the faults
+// that occur.
 package plan
 
 import "time"
 
-// Plan is one experiment.
+// Plan describes one simulation.
 type Plan struct {
-	// Seed makes runs repeatable.
+	// Seed seeds the random draws: equal plans with equal seeds give equal results.
 	Seed uint64
-	// Length is how long callers send jobs; what is sent before Warmup is not counted.
+	// Length is how long callers send jobs. Jobs that are sent before Warmup has passed are not counted.
 	Length, Warmup time.Duration
-	// Load multiplies the rates of all jobs.
+	// Load is a factor on the rates of all jobs.
 	Load float64
-	// Returns is how often a refused caller comes back, after the time that the refusal names.
+	// MaxReturns is how often a caller sends a refused job again, each time after the delay that the refusal gives.
 	MaxReturns int
-	// Central: one dispatcher without delays takes the place of all entries. What it serves is the most that its policies
-	// can reach.
+	// Central replaces all entries by one dispatcher without message delays. The share of jobs that this dispatcher serves is
+	// the upper bound for its policies.
 	Central   bool
 	Delays    Delays
 	Zones     []Zone
@@ -24,99 +24,99 @@
 	Faults    []Fault
 }
 
-// Delays are one-way times of messages.
+// Delays holds the one-way delays of messages.
 type Delays struct {
-	// Near is within an availability zone, Far between two, Callers to and from callers.
+	// Near is the delay within an availability zone, Far between two zones, and Callers between a caller and an entry.
 	Near, Far, Callers time.Duration
-	// Handling is what a process takes for a message at the most; it is drawn anew each time.
+	// Handling is the longest time that a process takes to handle a message; the time is drawn for each message.
 	Handling time.Duration
-	// EntryLink is what an entry's VM can send, in megabits a second; zero is no bound.
+	// EntryLinkMbits is the bandwidth at which an entry's VM sends, in Mbit/s; zero means unlimited.
 	EntryLinkMbits float64
 }
 
-// Zone is an availability zone.
+// Zone describes an availability zone.
 type Zone struct {
 	Name string
-	// Entries and Upstreams count the VMs there.
+	// Entries and Upstreams are the numbers of VMs in the zone.
 	Entries, Upstreams int
-	// Share is the part of all jobs that callers of the zone send, relative to the others' shares.
+	// Share is the zone's weight in the distribution of jobs: its callers send Share divided by the sum of all shares.
 	Share float64
 }
 
-// Upstream is a kind of upstream. The kinds are dealt out in turn, each as often as its weight says.
+// Upstream describes a kind of upstream. Upstreams get the kinds in turn, each kind Weight times per round.
 type Upstream struct {
 	Name   string
 	Weight int
-	// Cores of each, and how many times as long as elsewhere a task takes there.
+	// Cores is the size of each upstream of this kind; Slowness is a factor on the run time of its tasks.
 	Cores, Slowness float64
 }
 
-// Job is a kind of job, of one step.
+// Job describes a kind of job. All its jobs have one step.
 type Job struct {
 	Name string
-	// Rate is how many are sent a second.
+	// Rate is the number of jobs that are sent per second.
 	Rate float64
-	// Tasks is the mean number of tasks, MaxTasks the highest.
+	// Tasks is the mean number of tasks, MaxTasks the largest.
 	Tasks, MaxTasks int
-	// Time is the mean run time of a job's tasks. Spread is how much jobs differ in number and time of tasks, as the
-	// standard deviation of the logarithm; Uneven how much the tasks of one job do.
+	// Time is the mean run time of a job's tasks. Spread is the standard deviation, of the logarithm, of the number and the run
+	// time of tasks between jobs; Uneven is that of the run time between the tasks of one job.
 	Time           time.Duration
 	Spread, Uneven float64
-	// EstimateOff is by which part the estimate may be wrong.
+	// EstimateError is the largest relative error of the declared run time.
 	EstimateError float64
-	// Cores is what a task takes; jobs differ by a fifth.
+	// Cores is the mean number of cores that a task needs; it varies between jobs with a standard deviation of a fifth.
 	Cores float64
-	// Stretch times the longest task and Target make up the objective; Deadline is when callers leave.
+	// A job's objective is Target plus Stretch times the run time of its longest task. Callers give up after Deadline.
 	Stretch          float64
 	Target, Deadline time.Duration
-	// Text is the length of the job's text in bytes, which goes to each agent that gets one of its tasks.
+	// TextBytes is the length of the job's text, which is sent to each agent that gets one of the job's tasks.
 	TextBytes int
-	// Priority 0 goes first; Attempts is after how many failed runs of one task the job has failed.
+	// Priority 0 is the highest. A job fails once one of its tasks has failed Attempts times.
 	Priority, Attempts int
 }
 
-// Kind is a kind of fault.
+// Kind is the kind of a fault, as the plan file names it.
 type Kind string
 
 // The kinds of faults.
 const (
-	// Burst: Factor times as many jobs, of one kind or all, from one zone or all.
+	// Burst multiplies the rate of jobs by Factor, for one kind or all kinds and for one zone or all zones.
 	Burst Kind = "burst"
-	// UpstreamsLost: VMs of upstreams lose power.
+	// UpstreamsLost lets VMs of upstreams lose power.
 	UpstreamsLost Kind = "upstreams_lost"
-	// UpstreamsRestart: upstreams crash and start again under their ids, beside agents that go on.
+	// UpstreamsRestart lets upstreams crash and restart under the same ids while their agents keep running.
 	UpstreamsRestart Kind = "upstreams_restart"
-	// UpstreamsSlow: tasks that start there take Factor times as long.
+	// UpstreamsSlow multiplies by Factor the run time of tasks that start at the affected upstreams.
 	UpstreamsSlow Kind = "upstreams_slow"
-	// UpstreamsHang: tasks that start there never end.
+	// UpstreamsHang lets tasks that start at the affected upstreams run forever.
 	UpstreamsHang Kind = "upstreams_hang"
-	// UpstreamsFail: tasks that start there fail at once.
+	// UpstreamsFail lets tasks that start at the affected upstreams fail immediately.
 	UpstreamsFail Kind = "upstreams_fail"
-	// EntriesLost: VMs of entries lose power; their callers send what was under way again.
+	// EntriesLost lets VMs of entries lose power; their callers send the unanswered jobs again.
 	EntriesLost Kind = "entries_lost"
-	// ZoneCordoned: operators cordon a zone; processes hear of it one after the other.
+	// ZoneCordoned cordons an availability zone; processes learn of the cordon at different times.
 	ZoneCordoned Kind = "zone_cordoned"
-	// CallersLeave: the part Factor of the callers leaves at half of the objective.
+	// CallersLeave lets the share Factor of the callers give up at half of their objective.
 	CallersLeave Kind = "callers_leave"
 )
 
-// Kinds lists the kinds of faults.
+// Kinds lists all kinds of faults.
 var Kinds = []Kind{Burst, UpstreamsLost, UpstreamsRestart, UpstreamsSlow, UpstreamsHang, UpstreamsFail, EntriesLost, ZoneCordoned, CallersLeave}
 
-// Fault is something that goes wrong for a while.
+// Fault describes a fault that lasts for a limited time.
 type Fault struct {
 	Name string
 	Kind Kind
-	// At is when it begins, For how long it lasts.
+	// At is when the fault begins, after the start of the load; For is how long it lasts.
 	At, For time.Duration
-	// Zone and Job say where; empty is everywhere.
+	// Zone and Job restrict the fault to a zone and a kind of job; empty means all.
 	Zone, Job string
-	// Count is how many VMs are concerned, Factor how strongly.
+	// Count is the number of affected VMs. The meaning of Factor depends on Kind.
 	Count  int
 	Factor float64
 }
 
-// Rate is how many jobs of a kind callers of a zone send a second, some time after the start.
+// Rate returns the number of jobs of kind j that callers of zone z send per second, at the time at after the start.
 func (p *Plan) Rate(z *Zone, j *Job, at time.Duration) float64 {
 	var shares float64
 	for i := range p.Zones {
@@ -132,10 +132,10 @@
 	return rate
 }
 
-// MostBurst bounds what callers of one zone send of a kind, in multiples of what those of all zones usually send.
+// MaxBurst bounds the rate of one kind of job from one zone, as a multiple of the usual rate of this kind from all zones.
 const MaxBurst = 4
 
-// pressesTooMuch tells whether callers of a zone send more than MostBurst allows, some time after the start.
+// exceedsMaxBurst reports whether the callers of any zone exceed MaxBurst at the time at after the start.
 func (p *Plan) exceedsMaxBurst(at time.Duration) bool {
 	for i := range p.Zones {
 		for k := range p.Jobs {
@@ -147,7 +147,7 @@
 	return false
 }
 
-// Leaving is the part of the callers that leave early, some time after the start.
+// LeavingShare returns the share of callers that give up early, at the time at after the start.
 func (p *Plan) LeavingShare(at time.Duration) float64 {
 	for i := range p.Faults {
 		if f := &p.Faults[i]; f.Kind == CallersLeave && f.isActive(at) {
@@ -159,7 +159,7 @@
 
 func (f *Fault) isActive(at time.Duration) bool { return at >= f.At && at < f.At+f.For }
 
-// Cores is the room of all upstreams together.
+// Cores returns the total number of cores of all upstreams.
 func (p *Plan) Cores() float64 {
 	var sum float64
 	n := 0
@@ -172,7 +172,7 @@
 	return sum
 }
 
-// KindOf is the kind of the upstream of a number.
+// UpstreamKind returns the kind of the upstream with index n.
 func (p *Plan) UpstreamKind(n int) *Upstream {
 	weights := 0
 	for i := range p.Upstreams {
@@ -185,10 +185,11 @@
 		}
 		n -= p.Upstreams[i].Weight
 	}
-	panic("plan: the weights do not add up")
+	panic("plan: upstream index exceeds the sum of the weights")
 }
 
-// Asked is how many cores the jobs keep busy on average, if each runs once and nowhere slowly.
+// RequestedCores returns how many cores the jobs keep busy on average, if each task runs once on an upstream of Slowness 1.
+// Bursts are not counted.
 func (p *Plan) RequestedCores() float64 {
 	var sum float64
 	for i := range p.Jobs {
--- a/internal/load/plan/plan_test.go
+++ b/internal/load/plan/plan_test.go
@@ -11,10 +11,10 @@
 	"hillreel/internal/load/plan"
 )
 
-// small is the least that a plan has.
+// small is a minimal plan.
 const small = "[zone a]\n[upstream u]\n[job j]\nrate = 10\ntime = 50ms\n"
 
-// TestExample: the documented example is sound, and shows every field.
+// TestExample guards against an example plan, deploy/load.ini, that is invalid or whose sections are read incompletely.
 func TestExample(t *testing.T) {
 	raw, err := os.ReadFile("../../../deploy/load.ini")
 	qt.Assert(t, err, qt.IsNil)
@@ -27,25 +27,25 @@
 	qt.Assert(t, p.Warmup, qt.Equals, 4*time.Second)
 }
 
-// TestBadInput: each error names the section, the field and what is wrong.
+// TestBadInput guards against errors from which the author of a plan can't tell the section, the field and the reason.
 func TestBadInput(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
 		{"unknown field", small + "[run]\nlenght = 3s\n", `plan: f: [run] lenght: no such field`},
-		{"unknown section", small + "[runs]\n", `plan: f: [runs] : has no name`},
-		{"unknown named section", small + "[zones b]\n", `plan: f: [zones b] : no such section; there are run, delays, zone, upstream, job and fault`},
+		{"unknown section", small + "[runs]\n", `plan: f: [runs] : the section needs a name, as in [zone a]`},
+		{"unknown named section", small + "[zones b]\n", `plan: f: [zones b] : no such section; the sections are run, delays, zone, upstream, job and fault`},
 		{"no number", small + "[zone b]\nshare = much\n", `plan: f: [zone b] share: "much" is not a number`},
 		{"out of bounds", small + "[zone b]\nshare = -1\n", `plan: f: [zone b] share: -1 is not between 0 and 1000`},
 		{"no whole number", small + "[zone b]\nentries = 1.5\n", `plan: f: [zone b] entries: "1.5" is not a whole number`},
-		{"no time", small + "[run]\nlength = 10\n", `plan: f: [run] length: "10" is not a time, such as 60ms`},
-		{"no kind", small + "[fault f]\nkind = rain\n", `plan: f: [fault f] kind: "rain" is none of [`},
-		{"no zone of that name", small + "[fault f]\nkind = burst\nzone = z\n", `plan: f: [fault f] zone: no zone is called z`},
-		{"no job of that name", small + "[fault f]\nkind = burst\njob = x\n", `plan: f: [fault f] job: no job is called x`},
+		{"no time", small + "[run]\nlength = 10\n", `plan: f: [run] length: "10" is not a duration such as 60ms`},
+		{"no kind", small + "[fault f]\nkind = rain\n", `plan: f: [fault f] kind: "rain" is not one of [`},
+		{"no zone of that name", small + "[fault f]\nkind = burst\nzone = z\n", `plan: f: [fault f] zone: no zone is named z`},
+		{"no job of that name", small + "[fault f]\nkind = burst\njob = x\n", `plan: f: [fault f] job: no job is named x`},
 		{"no time of a job", "[zone a]\n[upstream u]\n[job j]\nrate = 10\n", `plan: f: [job j] time: 0s is not between 1ms and 1h0m0s`},
-		{"no jobs", "[zone a]\n[upstream u]\n", `plan: f: [job] rate: no jobs are sent`},
-		{"no upstreams", "[zone a]\n[job j]\nrate = 10\ntime = 50ms\n", `plan: f: [upstream] : no kind of upstream is described`},
-		{"no VMs", "[zone a]\nupstreams = 0\n[upstream u]\n[job j]\nrate = 10\ntime = 50ms\n", `plan: f: [zone] entries, upstreams: no zone has any`},
-		{"a burst beyond bounds", small + "[fault f]\nkind = burst\nfactor = 5\n", `plan: f: [fault f] factor: one zone would send over 4 times the usual jobs of all`},
-		{"all warmup", small + "[run]\nlength = 2s\nwarmup = 2s\n", `plan: f: [run] warmup: takes the whole length`},
+		{"no jobs", "[zone a]\n[upstream u]\n", `plan: f: [job] rate: the rates of all jobs are 0`},
+		{"no upstreams", "[zone a]\n[job j]\nrate = 10\ntime = 50ms\n", `plan: f: [upstream] : at least one [upstream NAME] section is needed`},
+		{"no VMs", "[zone a]\nupstreams = 0\n[upstream u]\n[job j]\nrate = 10\ntime = 50ms\n", `plan: f: [zone] entries, upstreams: at least one entry and one upstream are needed`},
+		{"a burst beyond bounds", small + "[fault f]\nkind = burst\nfactor = 5\n", `plan: f: [fault f] factor: one zone would send more than 4 times the usual jobs of all zones`},
+		{"all warmup", small + "[run]\nlength = 2s\nwarmup = 2s\n", `plan: f: [run] warmup: must be shorter than the length`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := plan.Parse("f", []byte(test.text))
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestRates: bursts multiply the rate of the jobs and zones that they name, while they last.
+// TestRates guards against bursts that affect other zones, other jobs or other times than those that they name.
 func TestRates(t *testing.T) {
 	p, err := plan.Parse("f", []byte("[zone a]\nshare = 1\n[zone b]\nshare = 3\n[upstream u]\n[job j]\nrate = 40\ntime = 50ms\n[job k]\nrate = 4\ntime = 1s\n"+
 		"[fault f]\nkind = burst\nat = 2s\nfor = 1s\nzone = a\njob = j\nfactor = 2\n"))
--- a/internal/load/plan/read.go
+++ b/internal/load/plan/read.go
@@ -12,15 +12,15 @@
 	"gopkg.in/ini.v1"
 )
 
-// Error is a refusal of one field.
+// Error reports an invalid field of a plan file.
 type Error struct{ File, Section, Key, Reason string }
 
-// Error names file, section, key and reason.
+// Error returns the message with the file, section, key and reason.
 func (e *Error) Error() string {
 	return "plan: " + e.File + ": [" + e.Section + "] " + e.Key + ": " + e.Reason
 }
 
-// Read reads a file; its error has a line for each problem and names the field.
+// Read reads a plan file. Its error has one line per problem, each of which names the section and the field.
 func Read(file string) (*Plan, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return Parse(file, raw)
 }
 
-// Parse reads the text of a file; name stands in errors.
+// Parse reads the text of a plan file. Errors give name as the file.
 func Parse(name string, text []byte) (*Plan, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{AllowNonUniqueSections: false, AllowShadows: true}, text)
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 	r := &reader{file: name}
 	p := &Plan{}
-	f.Section("run") // a section that is left out has its fields' defaults
+	f.Section("run") // creates a missing section, so that its fields get their defaults
 	f.Section("delays")
 	for _, s := range f.Sections() {
 		r.readSection(p, s)
@@ -65,20 +65,21 @@
 	r.problems = append(r.problems, e.Error())
 }
 
-// fields reads the keys of one section.
+// fields reads the keys of one section and remembers which keys it has used.
 type fields struct {
 	r    *reader
 	s    *ini.Section
 	used []string
 }
 
-// section reads one section; its first word says what it describes, the second names it.
+// readSection reads one section. The first word of its title is the type, the rest is the name of the zone, upstream, job or
+// fault that it describes.
 func (r *reader) readSection(p *Plan, s *ini.Section) {
 	f := &fields{r: r, s: s}
 	what, name, named := strings.Cut(s.Name(), " ")
 	name = strings.TrimSpace(name)
 	if wants := what != ini.DefaultSection && what != "run" && what != "delays"; wants && (!named || name == "") {
-		r.addProblem(s.Name(), "", "has no name")
+		r.addProblem(s.Name(), "", "the section needs a name, as in [zone a]")
 		return
 	}
 	switch what {
@@ -96,7 +97,7 @@
 	case "fault":
 		f.readFault(p, name)
 	default:
-		r.addProblem(s.Name(), "", "no such section; there are run, delays, zone, upstream, job and fault")
+		r.addProblem(s.Name(), "", "no such section; the sections are run, delays, zone, upstream, job and fault")
 		return
 	}
 	for _, k := range s.KeyStrings() {
@@ -123,7 +124,7 @@
 	}
 }
 
-// Bounds of a plan: the largest region that hillreel is built for, and enough beyond.
+// Upper bounds of a plan: they exceed the largest region that hillreel is built for.
 const (
 	maxVMs       = 5000
 	maxTasks     = 10_000
@@ -172,12 +173,12 @@
 func (f *fields) kind() Kind {
 	k := Kind(f.text("kind"))
 	if !slices.Contains(Kinds, k) {
-		f.r.addProblem(f.s.Name(), "kind", fmt.Sprintf("%q is none of %v", k, Kinds))
+		f.r.addProblem(f.s.Name(), "kind", fmt.Sprintf("%q is not one of %v", k, Kinds))
 	}
 	return k
 }
 
-// number reads a number between two bounds.
+// number reads a number between least and most; def is the default.
 func (f *fields) number(key string, def, least, most float64) float64 {
 	text := f.text(key)
 	if text == "" {
@@ -192,13 +193,13 @@
 }
 
 func (f *fields) checkBounds(key string, v, least, most float64) float64 {
-	if !(v >= least && v <= most) { // also refuses what is no number
+	if !(v >= least && v <= most) { // also true for NaN
 		f.r.addProblem(f.s.Name(), key, fmt.Sprintf("%v is not between %v and %v", v, least, most))
 	}
 	return v
 }
 
-// count reads a whole number.
+// count reads a whole number between least and most; def is the default.
 func (f *fields) count(key string, def, least, most int) int {
 	text := f.text(key)
 	if text == "" {
@@ -213,14 +214,14 @@
 	return v
 }
 
-// time reads a time with its unit.
+// time reads a duration with its unit, between least and most; def is the default.
 func (f *fields) time(key string, def, least, most time.Duration) time.Duration {
 	text := f.text(key)
 	v := def
 	if text != "" {
 		var err error
 		if v, err = time.ParseDuration(text); err != nil {
-			f.r.addProblem(f.s.Name(), key, fmt.Sprintf("%q is not a time, such as 60ms", text))
+			f.r.addProblem(f.s.Name(), key, fmt.Sprintf("%q is not a duration such as 60ms", text))
 			return def
 		}
 	}
@@ -230,7 +231,7 @@
 	return v
 }
 
-// check refuses what no single field shows.
+// checkPlan reports the problems that involve several fields.
 func (r *reader) checkPlan(p *Plan) {
 	var entries, upstreams int
 	var share, rate float64
@@ -245,30 +246,30 @@
 	}
 	switch {
 	case entries == 0 || upstreams == 0:
-		r.addProblem("zone", "entries, upstreams", "no zone has any")
+		r.addProblem("zone", "entries, upstreams", "at least one entry and one upstream are needed")
 	case share == 0:
-		r.addProblem("zone", "share", "no zone has callers")
+		r.addProblem("zone", "share", "the shares of all zones are 0")
 	case len(p.Upstreams) == 0:
-		r.addProblem("upstream", "", "no kind of upstream is described")
+		r.addProblem("upstream", "", "at least one [upstream NAME] section is needed")
 	case rate == 0:
-		r.addProblem("job", "rate", "no jobs are sent")
+		r.addProblem("job", "rate", "the rates of all jobs are 0")
 	case p.Warmup >= p.Length:
-		r.addProblem("run", "warmup", "takes the whole length")
+		r.addProblem("run", "warmup", "must be shorter than the length")
 	}
 	for i := range p.Faults {
 		if f := &p.Faults[i]; f.Kind == Burst && p.exceedsMaxBurst(f.At) {
-			r.addProblem("fault "+f.Name, "factor", fmt.Sprintf("one zone would send over %v times the usual jobs of all", MaxBurst))
+			r.addProblem("fault "+f.Name, "factor", fmt.Sprintf("one zone would send more than %v times the usual jobs of all zones", MaxBurst))
 		}
 	}
 	for _, f := range p.Faults {
 		if !zones[f.Zone] {
-			r.addProblem("fault "+f.Name, "zone", "no zone is called "+f.Zone)
+			r.addProblem("fault "+f.Name, "zone", "no zone is named "+f.Zone)
 		}
 		if f.Kind == ZoneCordoned && f.Zone == "" {
-			r.addProblem("fault "+f.Name, "zone", "must be given")
+			r.addProblem("fault "+f.Name, "zone", "required for this kind of fault")
 		}
 		if !jobs[f.Job] {
-			r.addProblem("fault "+f.Name, "job", "no job is called "+f.Job)
+			r.addProblem("fault "+f.Name, "job", "no job is named "+f.Job)
 		}
 	}
 }
