--- a/internal/load/report/plot.go
+++ b/internal/load/report/plot.go
@@ -10,20 +10,21 @@
 	"hillreel/internal/load/world"
 )
 
-// The size of a plot.
+// Size of a plot.
 const (
 	width  = 20 * vg.Centimeter
 	height = 10 * vg.Centimeter
 )
 
-// Plot writes a picture of each second of an experiment; the file's ending, such as .png or .svg, says in which format.
+// Plot writes a plot of the shares of jobs by outcome for each second of a simulation. The extension of file, such as .png or .svg,
+// selects the format.
 func Plot(file string, r *world.Result) error {
 	p := plot.New()
 	p.Title.Text = "What became of the jobs of each second"
 	p.X.Label.Text, p.Y.Label.Text = "second in which the job was sent", "part of the jobs"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Left = true
-	p.Legend.YOffs = height / 3 // between what is served and what is not
+	p.Legend.YOffs = height / 3 // between the curves of served and of unserved jobs
 	err := plotutil.AddLines(p,
 		"in time", points(r, func(t *world.Tally) int { return t.InTime }),
 		"late", points(r, func(t *world.Tally) int { return t.Late }),
@@ -35,7 +36,7 @@
 	return errors.Wrap(p.Save(width, height, file), "plot")
 }
 
-// points has the part of the jobs that a count is, for each second in which jobs were sent.
+// points returns the share of jobs that count selects, for each second in which jobs were sent.
 func points(r *world.Result, count func(*world.Tally) int) plotter.XYs {
 	var out plotter.XYs
 	for second, t := range r.Seconds {
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -14,8 +14,8 @@
 	"hillreel/internal/load/world"
 )
 
-// TestReport: the table has a line for all jobs, each kind, its largest tenth and each zone; a plot is written in the format
-// that its name asks for.
+// TestReport guards against a table that lacks the line for all jobs, a kind, the largest tenth of a kind, a zone or the messages,
+// and against a plot in another format than its file's extension selects.
 func TestReport(t *testing.T) {
 	p, err := plan.Parse("f", []byte("[run]\nlength = 4s\nwarmup = 1s\n[zone a]\nupstreams = 3\n[zone b]\n[upstream u]\n[job j]\nrate = 50\ntime = 50ms\n"))
 	qt.Assert(t, err, qt.IsNil)
@@ -26,17 +26,17 @@
 	for _, line := range []string{" all ", " j ", "largest tenth of j", "callers of a", "callers of b", "messages a second"} {
 		qt.Assert(t, strings.Contains(table.String(), line), qt.IsTrue, qt.Commentf("%q in\n%s", line, table.String()))
 	}
-	for _, test := range []struct{ ending, begins string }{{".png", "\x89PNG"}, {".svg", "<?xml"}} {
-		file := filepath.Join(t.TempDir(), "load"+test.ending)
+	for _, test := range []struct{ extension, magic string }{{".png", "\x89PNG"}, {".svg", "<?xml"}} {
+		file := filepath.Join(t.TempDir(), "load"+test.extension)
 		qt.Assert(t, report.Plot(file, r), qt.IsNil)
 		raw, err := os.ReadFile(file)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, strings.HasPrefix(string(raw), test.begins), qt.IsTrue)
+		qt.Assert(t, strings.HasPrefix(string(raw), test.magic), qt.IsTrue)
 	}
 	qt.Assert(t, report.Plot(filepath.Join(t.TempDir(), "load.unknown"), r), qt.ErrorMatches, "plot: .*")
 }
 
-// BenchmarkLargeRegion plays ten seconds of eighty upstreams and twelve entries.
+// BenchmarkLargeRegion simulates ten seconds of a region with eighty upstreams and twelve entries.
 func BenchmarkLargeRegion(b *testing.B) {
 	p, err := plan.Read("../../../deploy/load.ini")
 	qt.Assert(b, err, qt.IsNil)
--- a/internal/load/report/same_test.go
+++ b/internal/load/report/same_test.go
@@ -14,13 +14,13 @@
 	"hillreel/internal/load/world"
 )
 
-var sameWrite = flag.Bool("same-write", false, "write what the deployments of TestSame come to")
+var sameWrite = flag.Bool("same-write", false, "write the results of TestSame to its expected file")
 
-// sameFile has it.
+// expectedFile holds the expected tables of TestSame.
 const expectedFile = "testdata/same.txt"
 
-// TestSame: deployments that are played in virtual time come to the very figures that they came to when these were written last. A change that
-// only moves code leaves them; one that changes what is decided writes them anew (make same).
+// TestSame guards against unintended changes of decisions: the simulations of two deployments must give exactly the tables in
+// expectedFile. A change that only moves code leaves them as they are. A change of a decision updates them with make same.
 func TestSame(t *testing.T) {
 	var b bytes.Buffer
 	for _, file := range []string{"../../../deploy/load.ini", "../../../deploy/plans/three_zones.ini"} {
--- a/internal/load/report/table.go
+++ b/internal/load/report/table.go
@@ -1,4 +1,4 @@
-// Package report shows what an experiment in virtual time has found: a table, and a plot of each second.
+// Package report presents the result of a simulation in virtual time as a table, and as a plot with a point for each second.
 package report
 
 import (
@@ -10,10 +10,11 @@
 	"hillreel/internal/load/world"
 )
 
-// Table writes an experiment's figures: of all jobs, by kind, of each kind's largest tenth, and by availability zone.
+// Table writes the figures of a simulation: for all jobs, for each kind, for the largest tenth of each kind, and for the callers of
+// each availability zone.
 func Table(out io.Writer, p *plan.Plan, r *world.Result) error {
-	asked := p.RequestedCores() / r.Cores
-	if _, err := fmt.Fprintf(out, "asked for %.2f of the room of %.0f cores, faults and bursts aside\n\n", asked, r.Cores); err != nil {
+	requested := p.RequestedCores() / r.Cores
+	if _, err := fmt.Fprintf(out, "asked for %.2f of the room of %.0f cores, faults and bursts aside\n\n", requested, r.Cores); err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -40,15 +41,15 @@
 	return err
 }
 
-// line writes one line of the table; errors of w come out when it is flushed.
+// writeLine writes one line of the table. Write errors are returned by the later Flush of the tabwriter.
 func writeLine(w io.Writer, name string, t *world.Tally) {
-	asked := float64(t.Sent)
+	sent := float64(t.Sent)
 	fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f\t%.1f\t\n", name, t.Sent, t.ServedShare(),
-		fraction(float64(t.Late), asked), fraction(float64(t.Refused), asked), fraction(float64(t.Failed), asked), fraction(float64(t.Left), asked),
+		fraction(float64(t.Late), sent), fraction(float64(t.Refused), sent), fraction(float64(t.Failed), sent), fraction(float64(t.Left), sent),
 		t.ResponseTimes.Percentile(50), t.ResponseTimes.Percentile(99))
 }
 
-// part is n of all, and zero of nothing.
+// fraction returns n divided by all, or zero if all is zero.
 func fraction(n, all float64) float64 {
 	if all == 0 {
 		return 0
