--- a/commands/agent.go
+++ b/commands/agent.go
@@ -21,7 +21,7 @@
 
 func (a agentCommand) define() *cli.Command {
 	return &cli.Command{
-		Name: "agent", Usage: "run an agent: start, watch and stop tasks on the upstream beside it",
+		Name: "agent", Usage: "run an agent, which starts, watches and stops tasks on the upstream of its VM",
 		Flags: []cli.Flag{flag.Config()}, Action: a.run,
 	}
 }
--- a/commands/burn.go
+++ b/commands/burn.go
@@ -25,10 +25,10 @@
 
 func (b burnCommand) define() *cli.Command {
 	return &cli.Command{
-		Name: "burn", Usage: "print how fast services burn their error budgets, as one entry sees it",
+		Name: "burn", Usage: "print the burn rate of each service's error budgets, as recorded by one entry",
 		Flags: port.Flags(
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
-			&cli.StringFlag{Name: "html", Usage: "write a page to `FILE`"},
+			&cli.StringFlag{Name: "html", Usage: "write an HTML page to `FILE`"},
 		),
 		Action: b.run,
 	}
@@ -50,6 +50,7 @@
 	return b.writeText(c, services)
 }
 
+// writePage writes the report as an HTML page to file.
 func (burnCommand) writePage(file string, services []burn.Service) error {
 	t, err := template.New("burn").Parse(burnPage)
 	if err != nil {
@@ -62,6 +63,7 @@
 	return os.WriteFile(file, out.Bytes(), 0o644)
 }
 
+// writeText prints the report as text.
 func (burnCommand) writeText(c *cli.Command, services []burn.Service) error {
 	var out bytes.Buffer
 	if len(services) == 0 {
@@ -72,8 +74,9 @@
 		for _, r := range s.Rates {
 			fmt.Fprintf(&out, "  last %-4s %7d jobs   complete budget burns at %6.2f   fast budget at %6.2f\n", r.Window, r.Jobs, r.Complete, r.Fast)
 		}
-		for _, x := range s.Contributors {
-			fmt.Fprintf(&out, "  %s %s: %d bad jobs in the last hour, %.0f%% of all\n", x.Kind, x.Name, x.Bad, 100*x.Share)
+		for _, contributor := range s.Contributors {
+			fmt.Fprintf(&out, "  %s %s: %d bad jobs in the last hour, %.0f%% of all\n",
+				contributor.Kind, contributor.Name, contributor.Bad, 100*contributor.Share)
 		}
 	}
 	_, err := c.Root().Writer.Write(out.Bytes())
--- a/commands/commands.go
+++ b/commands/commands.go
@@ -1,4 +1,4 @@
-// Package commands holds hillreel's subcommands, one file each. A file registers its command in a table.
+// Package commands implements hillreel's subcommands. Each file implements one subcommand and registers it in init.
 package commands
 
 import (
@@ -16,23 +16,24 @@
 	"hillreel/internal/core/settings"
 )
 
-// command is one subcommand.
+// command is a subcommand.
 type command interface {
-	// define returns the subcommand for the command line.
+	// define returns the definition of the subcommand for the command-line parser.
 	define() *cli.Command
 }
 
+// registered lists all subcommands.
 var registered []command
 
-// register adds a subcommand to the table.
+// register adds a subcommand to the command line.
 func register(c command) { registered = append(registered, c) }
 
-// New returns the whole command line.
+// New returns the root command with all subcommands.
 func New() *cli.Command {
 	root := &cli.Command{
 		Name:  "hillreel",
-		Usage: "dispatch sub-second tasks: each runs once at a time, each job ends, each caller gets its own answer",
-		Description: "Exit codes: 0 done, 1 what was asked for did not succeed, 2 command line or settings are wrong, " +
+		Usage: "dispatch sub-second tasks: no task has two runs at a time, every job ends, every caller gets its own answer",
+		Description: "Exit codes: 0 success, 1 the command failed, 2 the command line or the settings are invalid, " +
 			"3 an invariant was violated.",
 		EnableShellCompletion: true,
 		ExitErrHandler:        func(context.Context, *cli.Command, error) {},
@@ -43,7 +44,7 @@
 	return root
 }
 
-// load reads the settings that --config names and sets up the log.
+// load reads the settings file that --config names and creates the log of a process with the given role.
 func load(c *cli.Command, role string) (*settings.Settings, *logrus.Entry, error) {
 	set, err := settings.Load(c.String("config"))
 	if err != nil {
@@ -56,13 +57,14 @@
 	return set, log, nil
 }
 
-// signals are those that a process is told to end or to reload with. Of each kind one waits to be handled, since more are as good
-// as one; and a series of one kind keeps none of the other out.
+// signals holds the signals that ask a process to stop or to reload. Each channel buffers one signal: further signals of the same
+// kind have no additional effect. The channels are separate so that many signals of one kind can't displace one of the other.
 type signals struct{ stop, reload chan os.Signal }
 
-// takeSignals lets the process take the signals that it is told to end or to reload with. A signal that nobody takes ends the
-// process at once, with all the requests that it has read: so they are taken before it listens, and until it has ended.
-// Logging to a pipe that nobody reads any more sends one as well, which is of no use: the lines are counted as dropped.
+// notifySignals starts to receive the signals that ask the process to stop or to reload. A signal that isn't received ends the
+// process immediately, and all requests that it has read stay unanswered. The signals are therefore received from before the
+// process listens until it has ended. notifySignals also ignores SIGPIPE, which the process gets when it logs to a pipe that has
+// no reader any more; such log lines are counted as dropped instead.
 func notifySignals() signals {
 	signal.Ignore(syscall.SIGPIPE)
 	s := signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
@@ -71,7 +73,7 @@
 	return s
 }
 
-// awaitEnd returns when the process is asked to end. On SIGHUP it calls reload; a nil one does nothing.
+// awaitStop returns when a signal asks the process to stop, or when ctx ends. On SIGHUP it calls reload unless reload is nil.
 func awaitStop(ctx context.Context, s signals, log *logrus.Entry, reload func()) {
 	for {
 		select {
@@ -89,7 +91,7 @@
 	}
 }
 
-// noteSignals logs the signals that come while the process leaves: they come in series, and change nothing any more.
+// logSignals logs the signals that arrive while the process shuts down. They have no effect, and several may arrive in a row.
 func logSignals(s signals, log *logrus.Entry) {
 	for {
 		var sig os.Signal
@@ -101,16 +103,16 @@
 	}
 }
 
-// process is an entry or an agent.
+// process is an entry or an agent. Start returns once it is running; Drain shuts it down.
 type process interface {
 	Start(ctx context.Context) error
 	Drain()
 }
 
-// flushLimit bounds the writing of a process's last lines; both roles keep more than that of their grace for closing.
+// flushTimeout bounds the time for writing the last log lines. Entries and agents reserve more than this of their grace for closing.
 const flushTimeout = 100 * time.Millisecond
 
-// serve runs a process until it is asked to end, and keeps its settings up to date.
+// serve runs a process until it is asked to stop, and applies changes of its settings file meanwhile.
 func serve(ctx context.Context, p process, r *reloader, log *logrus.Entry) error {
 	defer logs.Flush(log, flushTimeout)
 	signals := notifySignals()
@@ -125,7 +127,7 @@
 	awaitStop(ctx, signals, log, func() {
 		select {
 		case reload <- struct{}{}:
-		default: // one is waiting already
+		default: // a reload is already pending
 		}
 	})
 	go logSignals(signals, log)
--- a/commands/config/files.go
+++ b/commands/config/files.go
@@ -17,32 +17,32 @@
 	"hillreel/internal/entry/operator"
 )
 
-// fileFlag names the file of objects.
+// fileFlag returns the --file flag, which names a file of configuration objects.
 func fileFlag() cli.Flag {
 	return &cli.StringFlag{Name: "file", Aliases: []string{"f"}, Required: true, Usage: "read a JSON list of objects from `FILE` (- is standard input)"}
 }
 
 func (f command) applyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "apply", Usage: "create or replace the objects of a file, each only if nobody changed it meanwhile",
+		Name: "apply", Usage: "create or replace the objects in a file, each only if it has not changed since it was read",
 		Flags: port.Flags(fileFlag()), Action: f.apply,
 	}
 }
 
 func (f command) diffCommand() *cli.Command {
 	return &cli.Command{
-		Name: "diff", Usage: "print what apply would change", Flags: port.Flags(fileFlag()), Action: f.diff,
+		Name: "diff", Usage: "print the changes that apply would make", Flags: port.Flags(fileFlag()), Action: f.diff,
 	}
 }
 
 func (command) apply(ctx context.Context, c *cli.Command) error {
 	return forEachDifference(ctx, c, func(present, wanted object.Object) error {
 		call := port.Call{Method: http.MethodPut, Path: objectPath(string(wanted.Kind), string(wanted.Name)), Header: ifMatch(present.Version), Body: wanted.Spec}
-		var done operator.Changed
-		if _, err := port.Do(ctx, c, call, &done); err != nil {
+		var changed operator.Changed
+		if _, err := port.Do(ctx, c, call, &changed); err != nil {
 			return cli.Exit(wanted.Ref.String()+": "+err.Error(), exit.Failed)
 		}
-		_, err := fmt.Fprintf(c.Root().Writer, "%s changed, configuration version %d\n", wanted.Ref, done.Version)
+		_, err := fmt.Fprintf(c.Root().Writer, "%s changed, configuration version %d\n", wanted.Ref, changed.Version)
 		return err
 	})
 }
@@ -58,7 +58,8 @@
 	})
 }
 
-// eachDifference calls f for each object of the file that is not there as it stands in the file.
+// forEachDifference calls f for each object in the file that the configuration lacks or has with another spec. A missing object
+// is passed to f with version zero. Nothing is called if any object in the file is invalid.
 func forEachDifference(ctx context.Context, c *cli.Command, f func(present, wanted object.Object) error) error {
 	raw, err := readInput(c.String("file"))
 	if err != nil {
@@ -90,13 +91,13 @@
 	return nil
 }
 
-// sameJSON compares content, not white space.
+// sameJSON reports whether two JSON texts are equal apart from white space.
 func sameJSON(a, b json.RawMessage) bool {
 	var x, y bytes.Buffer
 	return json.Compact(&x, a) == nil && json.Compact(&y, b) == nil && bytes.Equal(x.Bytes(), y.Bytes())
 }
 
-// readInput reads a file, or standard input for "-".
+// readInput reads the named file, or standard input if name is "-".
 func readInput(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
--- a/commands/config/objects.go
+++ b/commands/config/objects.go
@@ -38,10 +38,10 @@
 	return &cli.Command{
 		Name: "set", Usage: "create or replace one object; its content is JSON", ArgsUsage: "KIND NAME JSON",
 		Flags: port.Flags(
-			&cli.Uint64Flag{Name: "if", Usage: "only if the object has `VERSION`; without it the object must be new"},
-			&cli.BoolFlag{Name: "patch", Usage: "change only the fields given (JSON merge patch)"},
-			&cli.BoolFlag{Name: "dry-run", Usage: "only say what the change would move"},
-			&cli.StringFlag{Name: "change-id", Usage: "name the change `ID`, so that sending it again does not repeat it"},
+			&cli.Uint64Flag{Name: "if", Usage: "change the object only if it has `VERSION`; without --if the object must not exist yet"},
+			&cli.BoolFlag{Name: "patch", Usage: "change only the given fields (JSON merge patch)"},
+			&cli.BoolFlag{Name: "dry-run", Usage: "change nothing, and print the effects that the change would have"},
+			&cli.StringFlag{Name: "change-id", Usage: "give the change the `ID`, so that a repeated request does not apply it twice"},
 		),
 		Action: f.set,
 	}
@@ -70,7 +70,7 @@
 func (f command) deleteCommand() *cli.Command {
 	return &cli.Command{
 		Name: "delete", Usage: "delete one object", ArgsUsage: "KIND NAME",
-		Flags: port.Flags(&cli.Uint64Flag{Name: "if", Required: true, Usage: "only if the object has `VERSION`"}), Action: f.delete,
+		Flags: port.Flags(&cli.Uint64Flag{Name: "if", Required: true, Usage: "delete the object only if it has `VERSION`"}), Action: f.delete,
 	}
 }
 
@@ -86,7 +86,8 @@
 	return port.PrintJSON(c, out)
 }
 
-// ifMatch makes a change conditional on an object's version; zero is an object that is not there yet.
+// ifMatch returns the headers that make a change conditional on the version of the object. Version zero means that the object
+// must not exist yet.
 func ifMatch(version uint64) map[string]string {
 	if version == 0 {
 		return map[string]string{"If-None-Match": "*"}
@@ -94,14 +95,14 @@
 	return map[string]string{"If-Match": `"` + strconv.FormatUint(version, 10) + `"`}
 }
 
-// pathOf is the path of one object.
+// objectPath returns the URL path of one object.
 func objectPath(kind, name string) string {
 	return "/v1/config/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
 func (f command) historyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "history", Usage: "print the audit trail: who changed what, when, from which version to which",
+		Name: "history", Usage: "print the audit trail: who changed which object, when, and from which version to which",
 		ArgsUsage: "[KIND NAME]", Flags: port.Flags(), Action: f.history,
 	}
 }
--- a/commands/demo.go
+++ b/commands/demo.go
@@ -24,18 +24,18 @@
 
 type demoCommand struct{}
 
-// The set that the demo runs, and the jobs that it sends: those of a podcast's publishing, a few a second.
+// Size of the set that the demo runs, and rate of the jobs that it sends, which model the publishing of a podcast.
 const (
 	demoEntries  = 3
 	demoAgents   = 4
 	demoCores    = 16
 	demoInterval = 25 * time.Millisecond
 	demoService  = "publish"
-	// The bounds of the response times, in milliseconds: 1 ms to a minute; and their precision, in decimal digits.
+	// Range of the histogram of response times, in milliseconds (1 ms to a minute), and its precision, in decimal digits.
 	demoLowest, demoHighest, demoDigits = 1, 60_000, 2
 )
 
-// demoJobs are sent in turn.
+// demoJobs lists the jobs that the demo sends in turn.
 var demoJobs = []api.Job{
 	{Service: demoService, Spec: `{"run_ms":60}`, Steps: []api.Step{{Count: 8, CPUMillis: 1600, MemMB: 64, EstimateMs: 60}}},
 	{Service: demoService, Spec: `{"run_ms":200}`, Steps: []api.Step{{Count: 2, CPUMillis: 1600, MemMB: 64, EstimateMs: 200}}},
@@ -44,10 +44,10 @@
 
 func (d demoCommand) define() *cli.Command {
 	return &cli.Command{
-		Name: "demo", Usage: "run a whole set in one process and send it jobs",
+		Name: "demo", Usage: "run a complete set of entries and agents in one process and send it jobs",
 		Flags: []cli.Flag{
-			&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Usage: "send jobs for `TIME`"},
-			&cli.BoolFlag{Name: "keep", Usage: "keep the set running afterwards, until interrupted"},
+			&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Usage: "send jobs for the duration `TIME`"},
+			&cli.BoolFlag{Name: "keep", Usage: "keep the set running after the jobs, until interrupted"},
 		},
 		Action: d.run,
 	}
@@ -66,7 +66,7 @@
 		return cli.Exit(err.Error(), exit.Failed)
 	}
 	defer func() {
-		// That links break when everything ends is no news.
+		// Links break while the set stops; warnings about them would be misleading.
 		log.Logger.SetLevel(logrus.ErrorLevel)
 		set.Stop()
 	}()
@@ -83,14 +83,14 @@
 	}
 	switch {
 	case len(set.Ledger.Broken()) > 0:
-		return cli.Exit("a task ran twice at a time, or an upstream was over its room", exit.Violation)
+		return cli.Exit("a task had two runs at a time, or an upstream had more tasks than room", exit.Violation)
 	case !ok:
 		return cli.Exit("a job did not complete", exit.Failed)
 	}
 	return nil
 }
 
-// demoResult is what the demo saw.
+// demoResult collects the answers to the jobs of the demo.
 type demoResult struct {
 	mu     sync.Mutex
 	states map[api.State]int
@@ -99,7 +99,7 @@
 	times  *hdrhistogram.Histogram
 }
 
-// drive sends jobs for a while and waits for their answers.
+// sendJobs sends jobs every demoInterval, until length has passed or ctx ends, and waits for their answers.
 func sendJobs(ctx context.Context, entries []string, length time.Duration) (*demoResult, error) {
 	cl, err := client.New(client.Options{Entries: entries, Connections: 256})
 	if err != nil {
@@ -124,6 +124,7 @@
 	return r, nil
 }
 
+// send sends one job and records its answer.
 func (r *demoResult) send(ctx context.Context, cl *client.Client, j api.Job) {
 	began := time.Now()
 	a, err := cl.Submit(ctx, client.NewID(), j)
@@ -146,7 +147,7 @@
 	}
 }
 
-// print tells what was seen, and whether all of it was good.
+// print prints the counts and response times. It reports whether at least one job was answered and all jobs completed.
 func (r *demoResult) print(out io.Writer, set *embedded.Set) bool {
 	starts, done := set.Ledger.Counts()
 	total := 0
--- a/commands/drain_test.go
+++ b/commands/drain_test.go
@@ -14,14 +14,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Bodies of jobs: one that outlasts any grace of these tests, one of two steps, and a short one.
+// Bodies of jobs: one that runs longer than the grace of every test here, one with two steps, and a short one.
 const (
 	longJob  = `{"service":"publish","spec":"{\"run_ms\":60000}","objective_ms":90000,"steps":[{"count":1,"cpu_millis":1000,"estimate_ms":60000}]}`
 	stepsJob = `{"service":"publish","spec":"{\"run_ms\":1500}","objective_ms":90000,"steps":[{"count":1,"cpu_millis":1000,"estimate_ms":1500},{"count":1,"cpu_millis":1000,"estimate_ms":1500,"after":[0]}]}`
 	shortJob = `{"service":"publish","spec":"{\"run_ms\":1000}","objective_ms":90000,"steps":[{"count":1,"cpu_millis":1000,"estimate_ms":1000}]}`
 )
 
-// dial opens a connection that ends with the test.
+// dial opens a connection that is closed when the test ends.
 func dial(t *testing.T, address string) net.Conn {
 	conn, err := net.Dial("tcp", address)
 	qt.Assert(t, err, qt.IsNil)
@@ -29,13 +29,13 @@
 	return conn
 }
 
-// put sends a job on a connection.
+// put sends a request with a job on a connection.
 func put(t *testing.T, conn net.Conn, id int, body string) {
 	_, err := fmt.Fprintf(conn, "PUT /v1/jobs/%016x HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// answer reads the answer on a connection: its status and body.
+// answer reads a response from a connection and returns its status and body.
 func answer(t *testing.T, conn net.Conn) (int, string) {
 	qt.Assert(t, conn.SetReadDeadline(time.Now().Add(waitLimit)), qt.IsNil)
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -45,20 +45,20 @@
 	return res.StatusCode, string(raw)
 }
 
-// TestLeavingAnswersAll: an entry that leaves gives every request that it has read an answer, also those whose jobs can't end
-// in its grace, and those that come over connections which were opened before it stopped to listen.
+// TestLeavingAnswersAll guards against an entry that shuts down without answering some of the requests that it has read: requests
+// whose jobs can't end within the grace, and requests on connections that were opened before the entry stopped listening.
 func TestLeavingAnswersAll(t *testing.T) {
 	for _, test := range []struct {
 		name, options string
-		// early are the connections that are opened before the process is asked to end, and on which a body is sent before
-		// that, or this much later.
-		early int
-		body  string
-		later time.Duration
-		// agents: the agent is asked to end at the same time.
-		agents bool
-		status int
-		want   string
+		// connections is the number of connections on which body is sent. later is when it is sent, relative to the signal that
+		// asks the entry to stop; if it is positive, the connections are opened 100 ms earlier.
+		connections int
+		body        string
+		later       time.Duration
+		// stopAgent says that the agent is asked to stop at the same time.
+		stopAgent bool
+		status    int
+		want      string
 	}{
 		{"a job that outlasts the grace", "unready = 500ms\ngrace = 3s", 1, longJob, -200 * time.Millisecond, false, http.StatusGatewayTimeout, `"may_have_run"`},
 		{"a job whose last step finds no agent", "unready = 500ms\ngrace = 5s", 1, stepsJob, -200 * time.Millisecond, true, http.StatusGatewayTimeout, `"may_have_run"`},
@@ -73,7 +73,7 @@
 			s.awaitReady("entry-1")
 			leave := func() {
 				s.signal("entry-1", syscall.SIGTERM)
-				if test.agents {
+				if test.stopAgent {
 					s.signal("agent-1", syscall.SIGTERM)
 				}
 			}
@@ -86,7 +86,7 @@
 			} else {
 				leave()
 				time.Sleep(test.later - 100*time.Millisecond)
-				for range test.early {
+				for range test.connections {
 					conns = append(conns, dial(t, s.callers["entry-1"]))
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -105,7 +105,8 @@
 	}
 }
 
-// TestLeavingIsNotHeldUp: a connection on which nothing comes holds up neither the end of an entry nor its other servers.
+// TestLeavingIsNotHeldUp guards against a connection without any request that delays the shutdown of an entry or of its other
+// servers.
 func TestLeavingIsNotHeldUp(t *testing.T) {
 	s := newSet(t)
 	front := freeAddress()
@@ -121,7 +122,8 @@
 	qt.Assert(t, s.log("entry-1"), qt.Not(qt.Contains), "requests_cut")
 }
 
-// TestLeavingEndsChanges: an operator's change that is under way while the entry leaves is answered.
+// TestLeavingEndsChanges guards against an operator's change that stays unanswered because the entry shuts down while the store has
+// not yet answered.
 func TestLeavingEndsChanges(t *testing.T) {
 	s := newSet(t)
 	s.entryWith("entry-1", "unready = 500ms\ngrace = 5s\noperator_token = token-of-this-test-0123456789")
@@ -143,8 +145,9 @@
 	qt.Assert(t, res.StatusCode < 300, qt.IsTrue, qt.Commentf("%d %s", res.StatusCode, raw))
 }
 
-// TestCallerThatClosesItsSide: a caller that has sent its request and closes its sending side still reads. Its job is given up,
-// since nobody may be there any more, but it must not read that all went well.
+// TestCallerThatClosesItsSide guards against a success answer for a job that was given up. A caller that closes the sending side of
+// its connection after its request can still read, but the entry can't distinguish it from a caller that is gone, so it gives the
+// job up.
 func TestCallerThatClosesItsSide(t *testing.T) {
 	s := newSet(t)
 	s.entry("entry-1")
--- a/commands/entry.go
+++ b/commands/entry.go
@@ -20,7 +20,7 @@
 
 func (e entryCommand) define() *cli.Command {
 	return &cli.Command{
-		Name: "entry", Usage: "run an entry: callers' and operators' API, placement, job state",
+		Name: "entry", Usage: "run an entry, which serves the callers' and operators' APIs, places tasks and holds the state of jobs",
 		Flags: []cli.Flag{flag.Config()}, Action: e.run,
 	}
 }
--- a/commands/exit/exit.go
+++ b/commands/exit/exit.go
@@ -1,13 +1,13 @@
-// Package exit has the exit codes of every subcommand.
+// Package exit defines the exit codes of all subcommands.
 package exit
 
 const (
-	// OK: done.
+	// OK means that the command succeeded.
 	OK = 0
-	// Failed: what was asked for did not succeed.
+	// Failed means that the command failed.
 	Failed = 1
-	// Usage: the command line or the settings are wrong.
+	// Usage means that the command line or the settings are invalid.
 	Usage = 2
-	// Violation: an invariant was violated.
+	// Violation means that an invariant was violated.
 	Violation = 3
 )
--- a/commands/job.go
+++ b/commands/job.go
@@ -21,12 +21,12 @@
 func (j jobCommand) define() *cli.Command {
 	return &cli.Command{
 		Name: "job", Usage: "send a job from standard input to an entry and print its answer",
-		Description: "The job is JSON as docs/API.md describes it. Exit code 0: the job is complete, or accepted if it is to be kept.",
+		Description: "The job is JSON as described in docs/API.md. The exit code is 0 if the job is complete, or if it is accepted and kept.",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "entry", Value: []string{"127.0.0.1:7600"}, Usage: "callers' API of an entry, `ADDRESS`; several may be given"},
-			&cli.StringFlag{Name: "id", Usage: "send the job under `ID`, 16 hexadecimal digits; without it, one is drawn"},
-			&cli.BoolFlag{Name: "state", Usage: "ask for the state of the kept job with --id instead"},
-			&cli.BoolFlag{Name: "cancel", Usage: "cancel the job with --id instead"},
+			&cli.StringSliceFlag{Name: "entry", Value: []string{"127.0.0.1:7600"}, Usage: "use the callers' API at `ADDRESS`; may be repeated"},
+			&cli.StringFlag{Name: "id", Usage: "send the job under `ID`, 16 hexadecimal digits; by default the id is random"},
+			&cli.BoolFlag{Name: "state", Usage: "print the state of the kept job named by --id instead"},
+			&cli.BoolFlag{Name: "cancel", Usage: "cancel the job named by --id instead"},
 		},
 		Action: j.run,
 	}
@@ -41,7 +41,7 @@
 	var a *api.Answer
 	switch {
 	case (c.Bool("state") || c.Bool("cancel")) && id == "":
-		return cli.Exit("--id must be set", exit.Usage)
+		return cli.Exit("--id is required with --state and --cancel", exit.Usage)
 	case c.Bool("state"):
 		a, err = cl.State(ctx, id)
 	case c.Bool("cancel"):
@@ -69,7 +69,7 @@
 	return cli.Exit("", exit.Failed)
 }
 
-// submit sends the job on standard input; without an id, one is drawn.
+// submit reads a job from standard input and sends it under id, or under a random id if id is empty.
 func submit(ctx context.Context, cl *client.Client, id string) (*api.Answer, error) {
 	raw, err := io.ReadAll(os.Stdin)
 	if err != nil {
--- a/commands/load.go
+++ b/commands/load.go
@@ -18,12 +18,12 @@
 
 func (l loadCommand) define() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "play a deployment's load in virtual time and say who is served", ArgsUsage: "FILE",
+		Name: "load", Usage: "simulate a deployment's load in virtual time and print which jobs are served in time", ArgsUsage: "FILE",
 		Flags: []cli.Flag{
 			&cli.FloatFlag{Name: "times", Value: 1, Usage: "multiply the load of the file by `N`"},
-			&cli.Uint64Flag{Name: "seed", Usage: "draw everything from `N` in place of the file's seed"},
-			&cli.BoolFlag{Name: "central", Usage: "let one dispatcher without delays place all jobs: the most that is to be had"},
-			&cli.StringFlag{Name: "plot", Usage: "write a picture of each second to `FILE`, such as load.png"},
+			&cli.Uint64Flag{Name: "seed", Usage: "use the random seed `N` instead of the file's seed"},
+			&cli.BoolFlag{Name: "central", Usage: "let one dispatcher without delays place all jobs, which gives the upper bound of jobs served"},
+			&cli.StringFlag{Name: "plot", Usage: "write a plot of each second to `FILE`, such as load.png"},
 		},
 		Action: l.run,
 	}
@@ -31,14 +31,14 @@
 
 func (loadCommand) run(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return cli.Exit("load: name one file that describes the deployment", exit.Usage)
+		return cli.Exit("load: want exactly one FILE that describes the deployment", exit.Usage)
 	}
 	p, err := plan.Read(c.Args().First())
 	if err != nil {
 		return cli.Exit(err.Error(), exit.Usage)
 	}
 	if times := c.Float("times"); times <= 0 {
-		return cli.Exit(fmt.Sprintf("--times: %v is not above zero", times), exit.Usage)
+		return cli.Exit(fmt.Sprintf("--times: %v is not greater than 0", times), exit.Usage)
 	}
 	p.Load *= c.Float("times")
 	p.Central = c.Bool("central")
--- a/commands/port/port.go
+++ b/commands/port/port.go
@@ -1,4 +1,4 @@
-// Package port calls an entry's operators' port for subcommands.
+// Package port implements calls to the operators' port of an entry, for subcommands.
 package port
 
 import (
@@ -15,26 +15,27 @@
 	"hillreel/commands/flag"
 )
 
-// callLimit bounds one call to an entry's operators' port.
+// callTimeout bounds one call to the operators' port of an entry.
 const callTimeout = 10 * time.Second
 
-// Flags say which entry to ask, and as whom.
+// Flags returns the flags that select the entry and the operator's token, followed by more.
 func Flags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		flag.Config(),
-		&cli.StringFlag{Name: "operators", Value: "127.0.0.1:7500", Usage: "ask the operators' port at `ADDRESS`"},
-		&cli.StringFlag{Name: "token", Sources: cli.EnvVars("HILLREEL_TOKEN"), Usage: "bear `TOKEN`; better given as HILLREEL_TOKEN"},
+		&cli.StringFlag{Name: "operators", Value: "127.0.0.1:7500", Usage: "call the operators' port at `ADDRESS`"},
+		&cli.StringFlag{Name: "token", Sources: cli.EnvVars("HILLREEL_TOKEN"), Usage: "authenticate with `TOKEN`; preferably set HILLREEL_TOKEN instead"},
 	}, more...)
 }
 
-// Call is one call to the operators' port.
+// Call describes a call to the operators' port.
 type Call struct {
 	Method, Path string
 	Header       map[string]string
 	Body         []byte
 }
 
-// Do does the call and decodes a success into out. An error is the server's own words.
+// Do makes the call and decodes the body of a successful response into out. It returns the HTTP status, or zero if there was no
+// response. For any other status than 200 the error is the response body.
 func Do(ctx context.Context, c *cli.Command, call Call, out any) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -61,7 +62,7 @@
 	return resp.StatusCode, errors.Wrap(json.Unmarshal(raw, out), "operators' port")
 }
 
-// PrintJSON writes v, indented.
+// PrintJSON prints v as indented JSON.
 func PrintJSON(c *cli.Command, v any) error {
 	out := json.NewEncoder(c.Root().Writer)
 	out.SetIndent("", "  ")
--- a/commands/process_test.go
+++ b/commands/process_test.go
@@ -21,30 +21,30 @@
 	"hillreel/internal/standin/loopback"
 )
 
-// patience bounds every wait of these tests; nothing is expected to take nearly as long.
+// waitLimit bounds every wait in these tests. It is far longer than any wait is expected to take.
 const waitLimit = 30 * time.Second
 
-// set is a whole set as separate processes.
+// set is a complete set of entries and agents with their stand-ins, each in a process of its own.
 type set struct {
 	t         *testing.T
 	binary    string
 	dir       string
 	store     string
-	mu        sync.Mutex // guards processes, which timers of the tests signal
+	mu        sync.Mutex // guards processes, which is also used by timers that send signals
 	processes map[string]*exec.Cmd
 	callers   map[string]string
 	ready     map[string]string
-	// logInto is where a process logs, by its name; others log into files.
+	// logInto maps the name of a process to the file that it logs to, such as a pipe; other processes log to name.log in dir.
 	logInto map[string]*os.File
 }
 
-// port is that of all servers of a set.
+// port is the port of all servers of a set, which differ in their addresses.
 const port = 7400
 
-// freeAddress draws an address for a server.
+// freeAddress draws a loopback address for a server.
 func freeAddress() string { return loopback.Draw(loopback.Processes, port) }
 
-// newSet starts the stand-in for the store and builds the program once.
+// newSet builds the program and starts the stand-in for the store. It kills all processes when the test ends.
 func newSet(t *testing.T) *set {
 	s := &set{
 		t: t, dir: t.TempDir(), store: freeAddress(), processes: make(map[string]*exec.Cmd),
@@ -70,7 +70,7 @@
 	return s
 }
 
-// run starts one process with a settings file of its own. It logs into a file, unless the set has another place for that.
+// run starts a process with a settings file of its own, and redirects its output to the file in logInto or to a log file.
 func (s *set) run(name string, command []string, ini string) {
 	file := filepath.Join(s.dir, name+".ini")
 	qt.Assert(s.t, os.WriteFile(file, []byte(ini), 0o600), qt.IsNil)
@@ -89,7 +89,7 @@
 	s.processes[name] = cmd
 }
 
-// slack are links' times that suit a machine on which much else runs.
+// relaxedLinks sets longer link timeouts than the defaults, which suits a machine under other load.
 const relaxedLinks = `
 [links]
 keep_alive = 200ms
@@ -97,9 +97,11 @@
 lease = 800ms
 `
 
+// entry starts an entry with default options.
 func (s *set) entry(name string) { s.entryWith(name, "unready = 500ms\ngrace = 10s") }
 
-// entryWith starts an entry with some options of its own.
+// entryWith starts an entry with the given options. An entry that was started before under this name keeps its callers' and metrics
+// addresses.
 func (s *set) entryWith(name, options string) {
 	if s.callers[name] == "" {
 		s.callers[name], s.ready[name] = freeAddress(), freeAddress()
@@ -108,6 +110,7 @@
 		name, freeAddress(), s.ready[name], s.callers[name], options, s.store, relaxedLinks))
 }
 
+// agent starts an agent and the stand-in for its upstream.
 func (s *set) agent(name string) {
 	up, control := freeAddress(), freeAddress()
 	s.run("upstream-"+name, []string{"standin", "upstream"}, fmt.Sprintf("[node]\nname = u-%s\n[standin_upstream]\nlisten = %s\nagent = %s\ncores = 8\nbeat = 200ms\n", name, up, control))
@@ -115,13 +118,14 @@
 		name, freeAddress(), up, control, s.store, relaxedLinks))
 }
 
-// log returns what a process has logged.
+// log returns the log file of a process.
 func (s *set) log(name string) string {
 	raw, err := os.ReadFile(filepath.Join(s.dir, name+".log"))
 	qt.Assert(s.t, err, qt.IsNil)
 	return string(raw)
 }
 
+// signal sends a signal to a process if that was started. After SIGKILL it waits for the end of the process and forgets it.
 func (s *set) signal(name string, sig syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +142,7 @@
 	}
 }
 
-// await waits until an entry is ready.
+// awaitReady waits until an entry is ready, and fails the test after waitLimit.
 func (s *set) awaitReady(name string) {
 	until := time.Now().Add(waitLimit)
 	for time.Now().Before(until) {
@@ -154,6 +158,7 @@
 	s.t.Fatalf("%s does not become ready:\n%s", name, s.log(name))
 }
 
+// entries returns the addresses of the callers' API of all entries.
 func (s *set) entries() []string {
 	var out []string
 	for _, a := range s.callers {
@@ -162,7 +167,8 @@
 	return out
 }
 
-// TestProcesses: jobs complete while processes are stopped, killed, frozen and told to reload, one after the other.
+// TestProcesses guards against jobs that don't complete while a process is asked to stop, killed, suspended or told to reload. The
+// cases run one after another on the same set.
 func TestProcesses(t *testing.T) {
 	s := newSet(t)
 	for _, e := range []string{"entry-1", "entry-2"} {
@@ -196,8 +202,8 @@
 	}
 }
 
-// TestLogsNobodyReads: writing to a pipe that nobody reads any more sends the process a signal, which must not end it with
-// all the requests that it has read.
+// TestLogsNobodyReads guards against an entry that is killed by SIGPIPE, with all requests that it has read, when it logs to a pipe
+// whose reader has closed.
 func TestLogsNobodyReads(t *testing.T) {
 	s := newSet(t)
 	reader, writer, err := os.Pipe()
@@ -210,13 +216,12 @@
 	qt.Assert(t, states, qt.DeepEquals, map[api.State]int{verdict.Complete: 30})
 }
 
-// TestDrainCutsNothing: an entry that is asked to end answers every request that it has read, with one attempt
-// each, and its process ends with code 0.
+// TestDrainCutsNothing guards against requests that are cut when an entry is asked to stop. The entry must answer every request that
+// it has read, without a retry by the client, and exit with code 0.
 //
-// Seen: 15 requests were cut, without an answer, 5 ms after their entry had been asked to end and 4 ms after it had been told
-// to reload. How: the entry waited for one signal to end and took none after it. Cause: a signal that a process does not
-// take ends it at once, at whatever it is. Proof: with a millisecond between the signals, none of the 30 jobs got an answer;
-// with the signals taken to the end, all do.
+// Requests are cut if the entry stops receiving signals after the first one, because a signal that isn't received ends a process
+// immediately. This cut 15 requests 5 ms after a stop signal and 4 ms after a reload signal. With a millisecond between the two
+// signals, none of the 30 jobs gets an answer.
 func TestDrainCutsNothing(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -250,7 +255,7 @@
 	}
 }
 
-// drive sends 30 jobs within 300 ms and lets something go wrong meanwhile.
+// sendJobs sends 30 jobs within 300 ms, calls fault after the first ten, and returns the number of answers by state.
 func (s *set) sendJobs(t *testing.T, fault func(), attempts int) map[api.State]int {
 	c, err := client.New(client.Options{Entries: s.entries(), Attempts: attempts})
 	qt.Assert(t, err, qt.IsNil)
--- a/commands/reload.go
+++ b/commands/reload.go
@@ -11,28 +11,29 @@
 	"hillreel/internal/core/settings"
 )
 
-// reloadEvery is how often the settings file is read again: it may change without a signal, and a change should be
-// in force within a few seconds.
+// reloadInterval is the time between two reads of the settings file. The file may change without a signal, and a change
+// should take effect within a few seconds.
 const reloadInterval = 2 * time.Second
 
-// reloader puts changed settings in force while a process runs.
+// reloader applies changes of the settings file to a running process.
 type reloader struct {
 	file string
-	// now are the settings in force, last the file's newest content.
+	// current holds the settings in effect; lastText is the content of the file when it was last read.
 	current  *settings.Settings
 	lastText string
 	setSeeds func(seeds []string)
 	log      *logrus.Entry
 }
 
-// newReloader returns a reloader of a settings file; seeds is called with new seeds, and may be nil.
-func newReloader(file string, now *settings.Settings, seeds func([]string), log *logrus.Entry) *reloader {
-	raw, _ := os.ReadFile(file) //nolint:errcheck // it was read a moment ago; if not, the next look says so
-	return &reloader{file: file, current: now, lastText: string(raw), setSeeds: seeds, log: log}
+// newReloader returns a reloader for a settings file whose content is already in effect. It calls setSeeds, unless that is nil,
+// when the seeds change.
+func newReloader(file string, current *settings.Settings, setSeeds func([]string), log *logrus.Entry) *reloader {
+	raw, _ := os.ReadFile(file) //nolint:errcheck // the file was readable a moment ago; reload reports an error
+	return &reloader{file: file, current: current, lastText: string(raw), setSeeds: setSeeds, log: log}
 }
 
-// run looks at the file from time to time, and when it is asked to, until ctx ends.
-func (r *reloader) run(ctx context.Context, asked <-chan struct{}) {
+// run calls reload periodically and for each receive from requests, until ctx ends. It returns immediately if there is no file.
+func (r *reloader) run(ctx context.Context, requests <-chan struct{}) {
 	if r.file == "" {
 		return
 	}
@@ -44,14 +45,14 @@
 			return
 		case <-ticker.C:
 			r.reload()
-		case <-asked:
+		case <-requests:
 			r.reload()
 		}
 	}
 }
 
-// reload reads the file and puts in force what can change while the process runs. What is wrong with it is logged
-// with its section and key, and the settings stay as they are.
+// reload reads the file and applies the settings that can change while the process runs. An invalid file is logged with the
+// section and key of the error, and changes nothing.
 func (r *reloader) reload() {
 	raw, err := os.ReadFile(r.file)
 	if err != nil {
@@ -70,6 +71,7 @@
 	r.apply(next)
 }
 
+// apply applies new seeds and a new log level, and logs whether other changes need a restart.
 func (r *reloader) apply(next *settings.Settings) {
 	var changed []string
 	if !reflect.DeepEqual(next.Node.Seeds, r.current.Node.Seeds) {
--- a/commands/reload_test.go
+++ b/commands/reload_test.go
@@ -12,8 +12,8 @@
 	"hillreel/internal/core/settings"
 )
 
-// TestReload: seeds and the log level change while a process runs, other options are said to need a restart, and a file
-// that can't be used changes nothing and is named with its field.
+// TestReload guards against these faults of a reload: changed seeds or a changed log level have no effect, other changed options are
+// not reported as needing a restart, and an invalid file changes settings or is logged without its field.
 func TestReload(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
--- a/commands/settings.go
+++ b/commands/settings.go
@@ -19,8 +19,8 @@
 	return &cli.Command{
 		Name: "settings", Usage: "check a settings file, or print all options with their defaults",
 		Commands: []*cli.Command{
-			{Name: "check", Usage: "say what is wrong with a settings file", Flags: []cli.Flag{flag.Config()}, Action: s.check},
-			{Name: "document", Usage: "print every option beside its default; hillreel.ini is this output", Action: s.document},
+			{Name: "check", Usage: "report the errors in a settings file", Flags: []cli.Flag{flag.Config()}, Action: s.check},
+			{Name: "document", Usage: "print every option with its default; hillreel.ini is this output", Action: s.document},
 		},
 	}
 }
@@ -29,7 +29,7 @@
 	if _, err := settings.Load(c.String("config")); err != nil {
 		return cli.Exit(err.Error(), exit.Usage)
 	}
-	fmt.Fprintln(c.Root().Writer, "the settings are sound")
+	fmt.Fprintln(c.Root().Writer, "the settings are valid")
 	return nil
 }
 
--- a/commands/signals_test.go
+++ b/commands/signals_test.go
@@ -19,32 +19,32 @@
 	"hillreel/internal/core/settings"
 )
 
-// starting is a process that is sent signals while it starts.
+// startingProcess is a process that gets signals while it starts.
 type startingProcess struct {
 	signals []syscall.Signal
 	drained chan struct{}
 }
 
-// Start listens, as far as its caller can tell, and is sent its signals then.
+// Start stands for a process that already listens: it sends the signals to the test process.
 func (s *startingProcess) Start(context.Context) error {
 	for _, sig := range s.signals {
 		if err := syscall.Kill(os.Getpid(), sig); err != nil {
 			return err
 		}
-		time.Sleep(time.Millisecond) // equal signals that wait for the process count once
+		time.Sleep(time.Millisecond) // pending signals of the same kind are delivered only once
 	}
-	time.Sleep(50 * time.Millisecond) // the signals are delivered
+	time.Sleep(50 * time.Millisecond) // lets the last signal be delivered
 	return nil
 }
 
 func (s *startingProcess) Drain() { close(s.drained) }
 
-// series is a signal so many times.
+// repeatSignal returns a list of n signals sig.
 func repeatSignal(sig syscall.Signal, n int) []syscall.Signal {
 	return slices.Repeat([]syscall.Signal{sig}, n)
 }
 
-// output collects what is logged.
+// output is a log writer that is safe for concurrent use.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -62,12 +62,12 @@
 	return o.text.String()
 }
 
-// TestSignalsWhileStarting: an entry that was told to reload a millisecond after it had been asked to end was killed by the
-// second signal, since nobody took signals any more, and cut every request that it had read. A process that listens
-// already, but has not said that it has started, was killed in the same way. A signal of that time must be acted on as
-// soon as the process has started.
+// TestSignalsWhileStarting guards against a process that is killed by a signal which it doesn't receive, so that all requests that it
+// has read stay unanswered. This happens if SIGHUP follows SIGTERM by a millisecond and the process receives no signals after the
+// first one, or if a signal arrives while the process already listens but its start is not complete. Such an early signal must
+// take effect as soon as the process has started.
 func TestSignalsWhileStarting(t *testing.T) {
-	// Whatever becomes of the process under test, this one is not ended.
+	// Receiving the signals here keeps them from ending the test process, even if the code under test doesn't receive them.
 	taken := make(chan os.Signal, 16)
 	signal.Notify(taken, syscall.SIGTERM, syscall.SIGHUP)
 	defer signal.Stop(taken)
@@ -97,7 +97,7 @@
 			done := make(chan error, 1)
 			go func() { done <- serve(ctx, p, r, log) }()
 			if test.reloaded {
-				// The file is also looked at without a signal, but later than this.
+				// The file is also read without a signal, but only after reloadInterval.
 				awaitText(t, out, "settings_reloaded", reloadInterval/2)
 				cancel()
 			}
@@ -105,21 +105,21 @@
 			case err := <-done:
 				qt.Assert(t, err, qt.IsNil)
 			case <-time.After(5 * time.Second):
-				t.Fatalf("the process does not end:\n%s", out)
+				t.Fatalf("the process has not ended:\n%s", out)
 			}
 			<-p.drained
 		})
 	}
 }
 
-// awaitText waits until something is logged.
+// awaitText waits until the log contains want, and fails the test after limit.
 func awaitText(t *testing.T, out *output, want string, limit time.Duration) {
 	for until := time.Now().Add(limit); ; time.Sleep(time.Millisecond) {
 		if strings.Contains(out.String(), want) {
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatalf("no %s:\n%s", want, out)
+			t.Fatalf("the log lacks %s:\n%s", want, out)
 		}
 	}
 }
--- a/commands/standin.go
+++ b/commands/standin.go
@@ -23,22 +23,22 @@
 
 func (s standinCommand) define() *cli.Command {
 	return &cli.Command{
-		Name: "standin", Usage: "run a stand-in for an outside system, for trials on one machine",
+		Name: "standin", Usage: "run a stand-in for an external system, for trials on one machine",
 		Commands: []*cli.Command{
 			{
-				Name: "store", Usage: "the platform's store, in memory",
+				Name: "store", Usage: "run the platform's store, in memory",
 				Flags: []cli.Flag{
 					flag.Config(),
-					&cli.StringFlag{Name: "routes", Usage: "put the operator's configuration from `FILE` (JSON) into the store, again whenever it changes"},
+					&cli.StringFlag{Name: "routes", Usage: "write the operator's configuration from `FILE` (JSON) into the store, also after each change"},
 				},
 				Action: s.store,
 			},
-			{Name: "upstream", Usage: "an upstream that runs tasks by sleeping", Flags: []cli.Flag{flag.Config()}, Action: s.upstream},
+			{Name: "upstream", Usage: "run an upstream whose tasks only sleep", Flags: []cli.Flag{flag.Config()}, Action: s.upstream},
 		},
 	}
 }
 
-// routesEvery is how often the file with the operator's configuration is looked at.
+// routesInterval is the time between two reads of the file with the operator's configuration.
 const routesInterval = 200 * time.Millisecond
 
 func (standinCommand) store(ctx context.Context, c *cli.Command) error {
@@ -56,7 +56,8 @@
 	return serveStandin(ctx, web.New("the store", set.Standin.Listen, store.Handler(), web.Internal), log)
 }
 
-// putRoutes writes the configuration into the store, unless it is what was written last.
+// putRoutes writes the file's content into the store as the configuration, unless it equals *last, and sets *last. With a nil
+// last it always writes. It returns an error if the file can't be read or isn't JSON.
 func putRoutes(store *standin.Store, file string, last *string) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// followRoutes puts the file into the store whenever it changes, until ctx ends.
+// watchRoutes writes the file into the store whenever the file changes, until ctx ends. It logs errors and tries again.
 func watchRoutes(ctx context.Context, store *standin.Store, file string, log *logrus.Entry) {
 	last := ""
 	for ctx.Err() == nil {
@@ -99,10 +100,10 @@
 	return serveStandin(ctx, web.New("the upstream", set.Upstream.Listen, u.Handler(), web.Internal), log)
 }
 
-// standinMemory is the memory that a stand-in for an upstream claims to have, in MB.
+// standinMemory is the memory that a stand-in for an upstream reports, in MB.
 const standinMemory = 64 << 10
 
-// serveStandin runs a stand-in's server until the process is asked to end.
+// serveStandin runs a stand-in's server until the process is asked to stop.
 func serveStandin(ctx context.Context, s *web.Server, log *logrus.Entry) error {
 	signals := notifySignals()
 	if err := s.Start(ctx); err != nil {
--- a/commands/version.go
+++ b/commands/version.go
@@ -10,7 +10,7 @@
 	"hillreel/commands/flag"
 )
 
-// Version is hillreel's version; CHANGELOG.md tells what it has.
+// Version is hillreel's version; CHANGELOG.md describes its changes.
 const Version = "0.1.0"
 
 func init() { register(versionCommand{}) }
