--- a/client/client.go
+++ b/client/client.go
@@ -1,5 +1,5 @@
-// Package client is the Go client of the callers' API. It sends a job to one entry after another until it has an
-// answer, always under the same id, so that no task of it runs twice at a time.
+// Package client implements a Go client of the callers' API. It sends a job to one entry after another until an entry
+// answers, always under the same id, so that no task of the job has two runs at the same time.
 package client
 
 import (
@@ -18,16 +18,16 @@
 	"hillreel/internal/core/verdict"
 )
 
-// Options say where the entries are.
+// Options configures a Client.
 type Options struct {
-	// Entries are the addresses of the callers' API of some entries.
+	// Entries lists the addresses, host:port, of the callers' API of at least one entry.
 	Entries []string
-	// Connections bounds the open connections to each entry; zero is 64.
+	// Connections is the maximum number of open connections to each entry; zero means 64.
 	Connections int
-	// Resend is the pause before a job whose answer was lost is sent again. The runs of a lost entry are stopped
-	// within it; a shorter one gains nothing. Zero is 1.3 s.
+	// Resend is the pause before a job is sent again after its answer was lost; zero means 1.3 s. Within this time the
+	// runs of a lost entry are stopped, so a shorter pause has no advantage.
 	Resend time.Duration
-	// Attempts is how often a job is sent at most; zero is 4.
+	// Attempts is the maximum number of requests for a job; zero means 4.
 	Attempts int
 }
 
@@ -37,17 +37,17 @@
 	defaultAttempts    = 4
 )
 
-// Client sends jobs. It is safe for use by many goroutines.
+// Client sends jobs to entries. It is safe for concurrent use.
 type Client struct {
 	o    Options
 	http *http.Client
 	next atomic.Uint64
 }
 
-// New returns a Client.
+// New returns a Client. It returns an error if o.Entries is empty.
 func New(o Options) (*Client, error) {
 	if len(o.Entries) == 0 {
-		return nil, errors.New("client: no entries")
+		return nil, errors.New("client: Options.Entries is empty")
 	}
 	if o.Connections == 0 {
 		o.Connections = defaultConnections
@@ -64,14 +64,15 @@
 	return c, nil
 }
 
-// NewID draws an id. A caller stores it with what the job is for before it submits.
+// NewID draws a random job id. A caller stores the id together with the purpose of the job before it submits the job.
 func NewID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-// ErrLost says that no entry has answered, and the job may have run.
+// ErrLost means that no entry has answered, so that the job may have run.
 var ErrLost = errors.New("client: no entry has answered; the job may have run")
 
-// Submit sends a job under an id and returns its answer, whatever that is. After a lost answer, or one that leaves
-// the job unresolved, the job is sent again.
+// Submit sends a job under an id and returns the answer, in whatever state the job is. If the answer is lost, or its
+// state is Unresolved, Submit sends the job again. After the last attempt, or when ctx ends,
+// it returns an error that wraps ErrLost.
 func (c *Client) Submit(ctx context.Context, id string, j api.Job) (*api.Answer, error) {
 	body, err := json.Marshal(j)
 	if err != nil {
@@ -80,17 +81,18 @@
 	return c.tryEntries(ctx, http.MethodPut, id, body)
 }
 
-// State asks for the state of a job that was sent with Keep.
+// State returns the state of a job that was sent with Keep.
 func (c *Client) State(ctx context.Context, id string) (*api.Answer, error) {
 	return c.tryEntries(ctx, http.MethodGet, id, nil)
 }
 
-// Cancel ends a job.
+// Cancel cancels a job.
 func (c *Client) Cancel(ctx context.Context, id string) (*api.Answer, error) {
 	return c.tryEntries(ctx, http.MethodDelete, id, nil)
 }
 
-// try calls one entry after the other until one answers.
+// tryEntries sends the request to one entry after another, with a pause between them, until one answers with a state other
+// than Unresolved or the attempts are used up.
 func (c *Client) tryEntries(ctx context.Context, method, id string, body []byte) (*api.Answer, error) {
 	var last error
 	for range c.o.Attempts {
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Command hillreel dispatches sub-second tasks from callers to upstreams. README.md shows the way in.
+// Command hillreel dispatches sub-second tasks from callers to upstreams. README.md is the introduction.
 package main
 
 import (
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	// A process may be told to reload before it has read its settings, and would end. A server takes the signal up later.
+	// By default SIGHUP ends the process, and it may arrive before the settings are read. Servers handle the signal once they start.
 	signal.Ignore(syscall.SIGHUP)
 	err := commands.New().Run(context.Background(), os.Args)
 	if err == nil {
