--- a/internal/load/world/callers.go
+++ b/internal/load/world/callers.go
@@ -127,7 +127,7 @@
 	}
 	w.nextJob++
 	r := &request{s: s, e: e, caller: dispatch.CallerID(w.nextJob)}
-	left := s.giveUpAfter - w.Now().Sub(s.firstSent)
+	remaining := s.giveUpAfter - w.Now().Sub(s.firstSent)
 	inc := e.inc
 	w.After(w.callerDelay(), func() {
 		if !e.alive || e.inc != inc {
@@ -137,10 +137,10 @@
 		e.waiting[r.caller] = r
 		e.table.RecordCallerContact(w.Now())
 		e.table.Submit(w.Now(), dispatch.Request{
-			Job: s.id, Spec: s.spec, Route: w.routes[s.kind.Name], Caller: r.caller, Deadline: w.Now().Add(left),
+			Job: s.id, Spec: s.spec, Route: w.routes[s.kind.Name], Caller: r.caller, Deadline: w.Now().Add(remaining),
 		})
 	})
-	w.After(left, r.giveUp)
+	w.After(remaining, r.giveUp)
 }
 
 // giveUp ends the caller's wait for an answer and abandons the job at the entry.
@@ -187,14 +187,14 @@
 
 // pickEntry draws an entry that is alive: one in zone, or any other if zone has none. It returns nil if no entry is alive.
 func (w *World) pickEntry(zone string) *entry {
-	near := slices.DeleteFunc(slices.Clone(w.entries), func(e *entry) bool { return !e.alive || e.zone != zone })
-	if len(near) == 0 {
-		near = slices.DeleteFunc(slices.Clone(w.entries), func(e *entry) bool { return !e.alive })
+	candidates := slices.DeleteFunc(slices.Clone(w.entries), func(e *entry) bool { return !e.alive || e.zone != zone })
+	if len(candidates) == 0 {
+		candidates = slices.DeleteFunc(slices.Clone(w.entries), func(e *entry) bool { return !e.alive })
 	}
-	if len(near) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return near[w.rng.IntN(len(near))]
+	return candidates[w.rng.IntN(len(candidates))]
 }
 
 // callerDelay draws the time that a message takes between a caller and an entry.
--- a/internal/load/world/overload_test.go
+++ b/internal/load/world/overload_test.go
@@ -64,10 +64,11 @@
 // minShareOfCentral is the least share that entries must serve, relative to one dispatcher that knows all room at once.
 const minShareOfCentral = 0.95
 
-func check(t *testing.T, name string, tally *world.Tally, least float64) {
+// check checks that the share of jobs that were served in time is at least minServed.
+func check(t *testing.T, name string, tally *world.Tally, minServed float64) {
 	t.Helper()
 	t.Logf("%s: %.3f", name, tally.ServedShare())
-	qt.Check(t, tally.ServedShare() >= least, qt.IsTrue, qt.Commentf("%s: %.3f", name, tally.ServedShare()))
+	qt.Check(t, tally.ServedShare() >= minServed, qt.IsTrue, qt.Commentf("%s: %.3f", name, tally.ServedShare()))
 }
 
 // TestNoRoomRefusals guards against entries that send most orders to upstreams whose room another entry has taken meanwhile. Twelve
