--- a/internal/proof/schedule/callers_test.go
+++ b/internal/proof/schedule/callers_test.go
@@ -11,7 +11,7 @@
 )
 
 // publish is the queue of all jobs.
-var publish = route.Route{
+var publishRoute = route.Route{
 	Name: "publish", Service: service, Target: 100 * time.Millisecond, Stretch: 3, Attempts: 2,
 }
 
@@ -21,10 +21,10 @@
 	done time.Time
 	// started is when the newest run began, failed counts failed runs. Of a kept job: noted is true once the upstream has
 	// forgotten that a run ended well, notedFailures counts failed runs that it has forgotten.
-	started       time.Time
-	failed        int
-	noted         bool
-	notedFailures int
+	started           time.Time
+	failed            int
+	doneForgotten     bool
+	failuresForgotten int
 	// crasher is nil for a task that crashes nothing.
 	crasher *crasher
 }
@@ -33,23 +33,23 @@
 type attempt struct {
 	refused, answered bool
 	// sent is what its caller has sent and has not arrived, in worlds where that takes long.
-	sent []func()
+	inTransit []func()
 	// since is when the first of it was sent.
-	since time.Time
+	firstSent time.Time
 }
 
 // submission is a job and its caller.
 type submission struct {
-	w        *world
-	id       job.ID
-	spec     *job.Spec
-	tasks    []simTask
-	poison   bool
-	first    time.Time
-	patience time.Duration
-	attempts []*attempt
-	answers  []dispatch.Answer
-	left     bool
+	w           *world
+	id          job.ID
+	spec        *job.Spec
+	tasks       []simTask
+	alwaysFails bool
+	first       time.Time
+	patience    time.Duration
+	attempts    []*attempt
+	answers     []dispatch.Answer
+	abandoned   bool
 	// kept: the job is to outlive entries. accepted is true once its caller knows that it will, cancelledAt is when the
 	// caller knew that it was cancelled.
 	kept, accepted, cancelling bool
@@ -59,10 +59,10 @@
 // maxAttempts is how often a caller sends a job.
 const maxAttempts = 3
 
-func (s *submission) done(t job.TaskID) { s.tasks[t.Index].done = s.w.Now() }
+func (s *submission) markDone(t job.TaskID) { s.tasks[t.Index].done = s.w.Now() }
 
 // onlyRefused tells whether every attempt so far was refused.
-func (s *submission) onlyRefused() bool {
+func (s *submission) allRefused() bool {
 	for _, a := range s.attempts {
 		if !a.refused {
 			return false
@@ -75,7 +75,7 @@
 func (w *world) submit() {
 	s := &submission{
 		w: w, id: job.ID(len(w.order) + 1), first: w.Now(), patience: w.between(500*time.Millisecond, 3*time.Second),
-		poison: w.chance(0.03),
+		alwaysFails: w.chance(0.03),
 	}
 	n := 1 + w.rng.IntN(4)
 	estimate := w.between(20*time.Millisecond, 400*time.Millisecond)
@@ -89,7 +89,7 @@
 	}
 	s.spec = &job.Spec{Text: s.id.String(), BestEffort: true, Steps: []job.Step{{Count: uint32(n), Each: need, Estimate: estimate}}}
 	s.kept = w.chance(0.4)
-	w.crashes.draw(s)
+	w.crashes.drawCrasher(s)
 	s.spec.BestEffort = !s.kept
 	w.jobs[s.id] = s
 	w.order = append(w.order, s)
@@ -102,36 +102,36 @@
 // sendTo hands the job to an entry.
 func (s *submission) sendTo(e *entryProc) {
 	w := s.w
-	if len(s.attempts) >= maxAttempts || s.left {
+	if len(s.attempts) >= maxAttempts || s.abandoned {
 		return
 	}
 	a := &attempt{}
 	s.attempts = append(s.attempts, a)
-	w.cuts.noteSent(s, e)
+	w.partitions.logSent(s, e)
 	inc := e.inc
 	caller := dispatch.CallerID(uint64(s.id)<<8 | uint64(len(s.attempts)))
-	e.waitersOf(s, a, caller)
-	w.cuts.carry(e, a, func() {
+	e.addOpenRequest(s, a, caller)
+	w.partitions.deliver(e, a, func() {
 		if !e.alive || e.inc != inc {
-			s.broken(a)
+			s.connectionLost(a)
 			return
 		}
-		e.doIn(inc, func() { e.hear(); e.table.RecordCallerContact(e.now()); e.take(s, a, caller) })
+		e.doIn(inc, func() { e.recordContact(); e.table.RecordCallerContact(e.now()); e.receive(s, a, caller) })
 	})
-	leave := w.cuts.waits(s.patience)
-	if w.chance(w.odds.leaves) {
+	leave := w.partitions.drawCallerWait(s.patience)
+	if w.chance(w.profile.abandonRate) {
 		leave = w.between(10*time.Millisecond, 300*time.Millisecond)
-		s.left = true
+		s.abandoned = true
 	}
 	w.After(leave, func() {
 		if a.answered {
 			return
 		}
 		a.answered = true
-		if !e.clientCut || w.odds.cutOff {
-			w.cuts.carry(e, a, func() {
+		if !e.callersCut || w.profile.partitions {
+			w.partitions.deliver(e, a, func() {
 				e.doIn(inc, func() {
-					w.cuts.noteGone(s, e)
+					w.partitions.logGone(s, e)
 					delete(e.waiting, caller)
 					if s.kept {
 						e.keptJobs.Abandon(s.id, caller)
@@ -141,31 +141,31 @@
 				})
 			})
 		}
-		if !e.clientCut && e.alive && e.inc == inc && w.chance(w.odds.again) {
+		if !e.callersCut && e.alive && e.inc == inc && w.chance(w.profile.resubmitRate) {
 			// An impatient caller sends it again at once, to the same entry: only there may it do so.
 			w.After(w.between(4*time.Millisecond, 100*time.Millisecond), func() { s.sendAgain(e, inc) })
 			return
 		}
-		w.After(resend, s.send)
+		w.After(resendDelay, s.send)
 	})
 }
 
 // sendAgain hands the job to the entry that had it, if that still lives, or else to another after the usual pause.
 func (s *submission) sendAgain(e *entryProc, inc ident.Incarnation) {
-	if !e.alive || e.inc != inc || e.clientCut {
-		s.w.After(resend, s.send)
+	if !e.alive || e.inc != inc || e.callersCut {
+		s.w.After(resendDelay, s.send)
 		return
 	}
 	s.sendTo(e)
 }
 
 // broken handles a connection that broke before an answer came.
-func (s *submission) broken(a *attempt) {
+func (s *submission) connectionLost(a *attempt) {
 	if a.answered {
 		return
 	}
 	a.answered = true
-	s.w.After(resend, s.send)
+	s.w.After(resendDelay, s.send)
 }
 
 // openRequest is a request that waits at an entry.
@@ -174,7 +174,7 @@
 	a *attempt
 }
 
-func (e *entryProc) waitersOf(s *submission, a *attempt, c dispatch.CallerID) {
+func (e *entryProc) addOpenRequest(s *submission, a *attempt, c dispatch.CallerID) {
 	if e.open == nil {
 		e.open = make(map[dispatch.CallerID]openRequest)
 	}
@@ -182,29 +182,29 @@
 }
 
 // take is the arrival of a request at its entry.
-func (e *entryProc) take(s *submission, a *attempt, c dispatch.CallerID) {
-	if a.answered && !e.clientCut && !e.w.odds.cutOff {
+func (e *entryProc) receive(s *submission, a *attempt, c dispatch.CallerID) {
+	if a.answered && !e.callersCut && !e.w.profile.partitions {
 		// The entry sees that the connection is closed before it handles the request.
 		return
 	}
-	e.waiting[c] = func(answer dispatch.Answer) { s.answer(e, a, answer) }
+	e.waiting[c] = func(answer dispatch.Answer) { s.handleAnswer(e, a, answer) }
 	if s.kept {
 		e.keptJobs.Submit(e.now(), dispatch.Request{
-			Job: s.id, Spec: s.spec, Route: publish, Caller: c, Deadline: e.now().Add(s.patience),
+			Job: s.id, Spec: s.spec, Route: publishRoute, Caller: c, Deadline: e.now().Add(s.patience),
 		})
 		return
 	}
 	e.table.Submit(e.now(), dispatch.Request{
-		Job: s.id, Spec: s.spec, Route: publish, Caller: c, Deadline: e.now().Add(s.patience),
+		Job: s.id, Spec: s.spec, Route: publishRoute, Caller: c, Deadline: e.now().Add(s.patience),
 	})
 }
 
 // answer takes an answer to the caller and checks it.
-func (s *submission) answer(e *entryProc, a *attempt, answer dispatch.Answer) {
+func (s *submission) handleAnswer(e *entryProc, a *attempt, answer dispatch.Answer) {
 	w := s.w
-	w.note("job %v is answered %s %s %s by %s", s.id, answer.State, answer.Verdict, answer.Reason, e.name)
+	w.logf("job %v is answered %s %s %s by %s", s.id, answer.State, answer.Verdict, answer.Reason, e.name)
 	if answer.State == verdict.Accepted {
-		w.accepted(s)
+		w.handleAccepted(s)
 	}
 	if answer.State == verdict.Failed {
 		s.checkFailed()
@@ -216,22 +216,22 @@
 			}
 		}
 	}
-	if answer.State == verdict.Refused && answer.Verdict == verdict.NotRun && s.holdsRun(e) {
+	if answer.State == verdict.Refused && answer.Verdict == verdict.NotRun && s.hasRun(e) {
 		w.violate("job %v is called not run, and its entry has a run of it", s.id)
 	}
-	if e.clientCut || a.answered {
+	if e.callersCut || a.answered {
 		return
 	}
 	a.answered = true
 	a.refused = answer.State == verdict.Refused && answer.Verdict == verdict.NotRun
 	s.answers = append(s.answers, answer)
 	if answer.State == verdict.Unresolved {
-		w.After(resend, s.send)
+		w.After(resendDelay, s.send)
 	}
 }
 
 // holdsRun tells whether a run of the job that this very entry ordered is at an upstream.
-func (s *submission) holdsRun(*entryProc) bool {
+func (s *submission) hasRun(*entryProc) bool {
 	if len(s.attempts) > 1 {
 		return false // an earlier entry's
 	}
--- a/internal/proof/schedule/cordons_test.go
+++ b/internal/proof/schedule/cordons_test.go
@@ -18,31 +18,31 @@
 	w   *world
 	rng *rand.Rand
 	// zones are those that are cordoned now, version is the store's when that last changed.
-	zones   map[ident.Zone]bool
-	version rows.Version
+	cordoned map[ident.Zone]bool
+	version  rows.Version
 	// turned are the processes that the store turns away.
-	turned map[*proc]bool
+	refused map[*proc]bool
 }
 
 func newOperators(w *world) *operators {
 	return &operators{
-		w: w, rng: rand.New(rand.NewPCG(w.seed, 4)), zones: make(map[ident.Zone]bool), turned: make(map[*proc]bool),
+		w: w, rng: rand.New(rand.NewPCG(w.seed, 4)), cordoned: make(map[ident.Zone]bool), refused: make(map[*proc]bool),
 	}
 }
 
 const (
 	// readEvery is the pause between two readings of the cordons.
-	readEvery = 150 * time.Millisecond
+	cordonPollInterval = 150 * time.Millisecond
 	// cordonsEnd is when all cordons are lifted, so that kept jobs can end.
-	cordonsEnd = busy + time.Second
+	cordonsLiftedAt = activePeriod + time.Second
 	// gateBound is how long after its agent has heard of a cordon, or has begun, a start may still arrive at an upstream: those
 	// under way, for 2 ms at most.
-	gateBound = 10 * time.Millisecond
+	cordonStartBound = 10 * time.Millisecond
 )
 
 // zoneOf is the zone of an agent's VM.
 func (w *world) zoneOf(a *agentProc) ident.Zone {
-	if !w.odds.cordons {
+	if !w.profile.cordons {
 		return "z"
 	}
 	return ident.Zone("zone of " + a.name)
@@ -55,26 +55,26 @@
 
 // act plans what operators do, and which processes the store turns away.
 func (o *operators) act() {
-	if !o.w.odds.cordons {
+	if !o.w.profile.cordons {
 		return
 	}
 	for _, a := range o.w.agents {
 		for range o.rng.IntN(3) {
-			from := o.between(0, busy)
-			o.w.After(from, func() { o.set(o.w.zoneOf(a), true) })
-			o.w.After(from+o.between(10*time.Millisecond, 2*time.Second), func() { o.set(o.w.zoneOf(a), false) })
+			from := o.between(0, activePeriod)
+			o.w.After(from, func() { o.setCordon(o.w.zoneOf(a), true) })
+			o.w.After(from+o.between(10*time.Millisecond, 2*time.Second), func() { o.setCordon(o.w.zoneOf(a), false) })
 		}
 	}
 	for _, p := range o.procs() {
 		if o.rng.IntN(2) == 0 {
-			from := o.between(0, busy)
-			o.w.After(from, func() { o.turned[p] = true })
-			o.w.After(from+o.between(500*time.Millisecond, 4*time.Second), func() { delete(o.turned, p) })
+			from := o.between(0, activePeriod)
+			o.w.After(from, func() { o.refused[p] = true })
+			o.w.After(from+o.between(500*time.Millisecond, 4*time.Second), func() { delete(o.refused, p) })
 		}
 	}
-	o.w.After(cordonsEnd, func() {
+	o.w.After(cordonsLiftedAt, func() {
 		for _, a := range o.w.agents {
-			o.set(o.w.zoneOf(a), false)
+			o.setCordon(o.w.zoneOf(a), false)
 		}
 	})
 }
@@ -92,12 +92,12 @@
 }
 
 // set cordons a zone or lifts its cordon.
-func (o *operators) set(z ident.Zone, cordoned bool) {
-	if o.zones[z] == cordoned {
+func (o *operators) setCordon(z ident.Zone, cordoned bool) {
+	if o.cordoned[z] == cordoned {
 		return
 	}
-	o.w.note("operators: %s cordoned %v", z, cordoned)
-	o.zones[z] = cordoned
+	o.w.logf("operators: %s cordoned %v", z, cordoned)
+	o.cordoned[z] = cordoned
 	o.w.store.Version++
 	o.version = o.w.store.Version
 }
@@ -105,7 +105,7 @@
 // snapshot is what a reading of the store brings now.
 func (o *operators) snapshot() cordon.Snapshot {
 	s := cordon.Snapshot{Source: cordon.Platform, Version: o.version}
-	for z, cordoned := range o.zones {
+	for z, cordoned := range o.cordoned {
 		if cordoned {
 			s.Zones = append(s.Zones, z)
 		}
@@ -116,8 +116,8 @@
 
 // read lets a process read the cordons again and again, as long as it lives: the answer comes a moment later, or, over a slow
 // store, so late that cordons have changed meanwhile.
-func (o *operators) read(p *proc, cut func() bool, take func(cordon.Snapshot)) {
-	if !o.w.odds.cordons {
+func (o *operators) pollCordons(p *proc, cut func() bool, take func(cordon.Snapshot)) {
+	if !o.w.profile.cordons {
 		return
 	}
 	inc := p.inc
@@ -126,7 +126,7 @@
 		if p.inc != inc || !p.alive {
 			return
 		}
-		if s := o.w.store; !s.silent && !s.busy && !o.turned[p] && !cut() {
+		if s := o.w.store; !s.silent && !s.busy && !o.refused[p] && !cut() {
 			snapshot, delay := o.snapshot(), o.between(time.Millisecond, 10*time.Millisecond)
 			if o.rng.IntN(10) == 0 {
 				delay += o.between(0, time.Second)
@@ -138,13 +138,13 @@
 				})
 			})
 		}
-		o.w.After(readEvery, again)
+		o.w.After(cordonPollInterval, again)
 	}
 	o.w.After(o.between(0, 300*time.Millisecond), again)
 }
 
 // adopt takes in a snapshot; what is believed never goes back to an older one.
-func (w *world) adopt(name string, set *cordon.Set, s cordon.Snapshot) bool {
+func (w *world) adoptSnapshot(name string, set *cordon.Set, s cordon.Snapshot) bool {
 	var before rows.Version
 	for _, have := range set.Snapshots() {
 		if have.Source == s.Source {
@@ -162,19 +162,19 @@
 
 // adoptCordons is what the entry's node does with what it hears.
 func (e *entryProc) adoptCordons(s cordon.Snapshot) {
-	if !e.w.adopt(e.name, e.cordons, s) {
+	if !e.w.adoptSnapshot(e.name, e.cordons, s) {
 		return
 	}
 	for _, a := range e.w.agents {
 		if side := e.links[&a.proc]; side != nil {
-			e.tellCordons(side)
+			e.sendCordons(side)
 		}
 	}
 	e.table.SetCordoned(e.now(), e.cordons.Zones())
 }
 
 // tellCordons tells an agent what the entry knows.
-func (e *entryProc) tellCordons(side *linkSide) {
+func (e *entryProc) sendCordons(side *linkSide) {
 	for _, a := range e.w.agents {
 		if &a.proc != side.other.owner {
 			continue
@@ -184,7 +184,7 @@
 				back := side.other
 				back.cordons.RecordReceived(s)
 				a.adoptCordons(s)
-				a.tellCordons(back)
+				a.sendCordons(back)
 			})
 		}
 	}
@@ -192,12 +192,12 @@
 
 // adoptCordons is what the agent's node does with what it hears.
 func (a *agentProc) adoptCordons(s cordon.Snapshot) {
-	if !a.w.adopt(a.name, a.cordons, s) {
+	if !a.w.adoptSnapshot(a.name, a.cordons, s) {
 		return
 	}
 	for _, e := range a.w.entries {
 		if side := a.links[&e.proc]; side != nil {
-			a.tellCordons(side)
+			a.sendCordons(side)
 		}
 	}
 	switch {
@@ -205,16 +205,16 @@
 		if a.cordonedAt.IsZero() {
 			a.cordonedAt = a.w.Now()
 		}
-		a.manager.SetZone(upstream.ZoneCordoned)
+		a.controller.SetZone(upstream.ZoneCordoned)
 	case a.cordons.Complete():
 		a.cordonedAt = time.Time{}
-		a.manager.SetZone(upstream.ZoneOpen)
+		a.controller.SetZone(upstream.ZoneOpen)
 	}
 	a.flush()
 }
 
 // tellCordons tells an entry what the agent knows.
-func (a *agentProc) tellCordons(side *linkSide) {
+func (a *agentProc) sendCordons(side *linkSide) {
 	for _, e := range a.w.entries {
 		if &e.proc != side.other.owner {
 			continue
@@ -224,7 +224,7 @@
 				back := side.other
 				back.cordons.RecordReceived(s)
 				e.adoptCordons(s)
-				e.tellCordons(back)
+				e.sendCordons(back)
 			})
 		}
 	}
@@ -233,21 +233,21 @@
 // checkCordon checks that a start doesn't come to an upstream whose agent has heard that its zone is cordoned, or has heard nothing.
 func (u *simUpstream) checkCordon(task job.TaskID, run job.Run) {
 	a, now := u.agent, u.w.Now()
-	if !u.w.odds.cordons || u.carriesLate || !a.alive {
+	if !u.w.profile.cordons || u.executesLate || !a.alive {
 		return
 	}
 	what := fmt.Sprintf("%s starts run %d of %v", u.id, run, task)
-	if heard := a.cordonedAt; !heard.IsZero() && now.Sub(heard) > gateBound {
+	if heard := a.cordonedAt; !heard.IsZero() && now.Sub(heard) > cordonStartBound {
 		u.w.violate("%s %v after its agent has heard that its zone is cordoned", what, now.Sub(heard))
 	}
-	if !a.cordons.Complete() && now.Sub(a.begunAt) > gateBound {
+	if !a.cordons.Complete() && now.Sub(a.begunAt) > cordonStartBound {
 		u.w.violate("%s while its agent has not heard which zones are cordoned", what)
 	}
 }
 
 // checkCordons checks that all processes know how it stands once everything has come to rest.
 func (w *world) checkCordons() {
-	if !w.odds.cordons {
+	if !w.profile.cordons {
 		return
 	}
 	for _, e := range w.entries {
--- a/internal/proof/schedule/count_test.go
+++ b/internal/proof/schedule/count_test.go
@@ -26,9 +26,9 @@
 	var failed atomic.Int64
 	onAllProcessors(n, func(i uint64) (more bool) {
 		s := first + i
-		if w := schedule(s, nil, someFaults(s)); w.broken != "" {
+		if w := runSchedule(s, nil, faultCount(s)); w.violation != "" {
 			failed.Add(1)
-			t.Logf("seed %d: %s", s, w.broken)
+			t.Logf("seed %d: %s", s, w.violation)
 		}
 		return true
 	})
--- a/internal/proof/schedule/crashes_test.go
+++ b/internal/proof/schedule/crashes_test.go
@@ -27,11 +27,11 @@
 
 const (
 	// crashesBefore: once so many upstreams have crashed under a task, it may be started fewer than crashStarts times more.
-	crashesBefore, crashStarts = 3, 3
+	crashThreshold, tooManyStarts = 3, 3
 	// crashCause is how many upstreams must have crashed under a task for its job to be called failed.
-	crashCause = 2
+	minCrashesToFail = 2
 	// contact is how long after a disturbance of its VM an agent is not held to that.
-	contact = 3 * time.Second
+	contactTime = 3 * time.Second
 )
 
 // crasher is how a task crashes the upstreams that start it; the zero crasher does not.
@@ -39,7 +39,7 @@
 	// after is how long after its start.
 	after time.Duration
 	// crashed counts the upstreams that have crashed under it, more the starts since the third.
-	crashed, more int
+	crashed, furtherStarts int
 }
 
 // crashes lets tasks and other causes crash upstreams. It draws by itself, like operators.
@@ -56,11 +56,11 @@
 }
 
 // down is how long an upstream that has crashed is away.
-func (c *crashes) down() time.Duration { return c.between(time.Second, 4*time.Second) }
+func (c *crashes) drawDowntime() time.Duration { return c.between(time.Second, 4*time.Second) }
 
 // draw decides which of a job's tasks crash upstreams: most do at once, some when a part of their work is done.
-func (c *crashes) draw(s *submission) {
-	if !c.w.odds.crashes || c.rng.IntN(8) != 0 {
+func (c *crashes) drawCrasher(s *submission) {
+	if !c.w.profile.crashes || c.rng.IntN(8) != 0 {
 		return
 	}
 	t := &s.tasks[c.rng.IntN(len(s.tasks))]
@@ -68,31 +68,31 @@
 	if c.rng.IntN(4) == 0 {
 		t.crasher.after = c.between(0, t.work)
 	}
-	c.w.note("job %v has a task that crashes upstreams after %v", s.id, t.crasher.after)
+	c.w.logf("job %v has a task that crashes upstreams after %v", s.id, t.crasher.after)
 }
 
 // act lets upstreams crash for other causes: single ones, one that goes down and up by turns, and all at once.
 func (c *crashes) act() {
-	if !c.w.odds.crashes {
+	if !c.w.profile.crashes {
 		return
 	}
 	most, shortest, longest := 6, 200*time.Millisecond, 2*time.Second
-	if c.w.odds.fewerCrashes {
+	if c.w.profile.fewerCrashes {
 		most, shortest, longest = 4, 800*time.Millisecond, 3*time.Second
 	}
 	for range c.rng.IntN(most) {
 		u := c.w.agents[c.rng.IntN(len(c.w.agents))].upstream
-		c.w.After(c.between(0, busy), func() { u.crashFor(c.down(), "by itself") })
+		c.w.After(c.between(0, activePeriod), func() { u.crashFor(c.drawDowntime(), "by itself") })
 	}
 	if c.rng.IntN(3) == 0 {
 		u, pause := c.w.agents[c.rng.IntN(len(c.w.agents))].upstream, c.between(shortest, longest)
-		for at := c.between(0, busy); at < busy; at += pause {
+		for at := c.between(0, activePeriod); at < activePeriod; at += pause {
 			c.w.After(at, func() { u.crashFor(pause/2, "by turns") })
 		}
 	}
 	if c.rng.IntN(3) == 0 {
-		down := c.down()
-		c.w.After(c.between(0, busy), func() {
+		down := c.drawDowntime()
+		c.w.After(c.between(0, activePeriod), func() {
 			for _, a := range c.w.agents {
 				a.upstream.crashFor(down, "with all others")
 			}
@@ -103,36 +103,36 @@
 // crashFor crashes the upstream if it is up.
 func (u *simUpstream) crashFor(down time.Duration, how string) {
 	if u.up {
-		u.w.note("%s crashes %s", u.id, how)
+		u.w.logf("%s crashes %s", u.id, how)
 		u.crash(down)
 	}
 }
 
 // crashes checks a start of a task that crashes upstreams, and lets it do so.
-func (u *simUpstream) crashes(r *simRun) {
+func (u *simUpstream) armCrash(r *simRun) {
 	t := u.w.jobs[r.task.Job].tasks[r.task.Index].crasher
 	if t == nil {
 		return
 	}
-	if t.crashed >= crashesBefore && !u.carriesLate && u.w.Now().After(u.agent.disturbed) {
-		t.more++
-		if t.more >= crashStarts {
-			u.w.violate("%v starts %d times more after %d upstreams have crashed under it", r.task, t.more, crashesBefore)
+	if t.crashed >= crashThreshold && !u.executesLate && u.w.Now().After(u.agent.disturbedUntil) {
+		t.furtherStarts++
+		if t.furtherStarts >= tooManyStarts {
+			u.w.violate("%v starts %d times more after %d upstreams have crashed under it", r.task, t.furtherStarts, crashThreshold)
 		}
 	}
 	life := u.life
 	u.w.After(t.after, func() {
 		if u.up && u.life == life && u.runs[r.task] == r {
 			t.crashed++
-			u.crashFor(u.w.crashes.down(), "under "+r.task.String())
+			u.crashFor(u.w.crashes.drawDowntime(), "under "+r.task.String())
 		}
 	})
 }
 
 // crashedUnder tells whether enough upstreams have crashed under a task of the job for it to be called failed.
-func (s *submission) crashedUnder() bool {
+func (s *submission) hasCrashedUpstreams() bool {
 	for _, t := range s.tasks {
-		if t.crasher != nil && t.crasher.crashed >= crashCause {
+		if t.crasher != nil && t.crasher.crashed >= minCrashesToFail {
 			return true
 		}
 	}
@@ -141,11 +141,11 @@
 
 // checkFailed checks that a job which is called failed could not be done.
 func (s *submission) checkFailed() {
-	if !s.w.odds.crashes || s.crashedUnder() {
+	if !s.w.profile.crashes || s.hasCrashedUpstreams() {
 		return
 	}
 	for _, t := range s.tasks {
-		if t.failed >= publish.Attempts {
+		if t.failed >= publishRoute.Attempts {
 			return
 		}
 	}
@@ -153,33 +153,33 @@
 }
 
 // disturb notes that an agent's VM is disturbed for a while.
-func (a *agentProc) disturb(d time.Duration) {
-	if until := a.now().Add(d + contact); until.After(a.disturbed) {
-		a.disturbed = until
+func (a *agentProc) markDisturbed(d time.Duration) {
+	if until := a.now().Add(d + contactTime); until.After(a.disturbedUntil) {
+		a.disturbedUntil = until
 	}
 }
 
 // disturbAll notes that all agents' VMs are, or the store.
-func (w *world) disturbAll(d time.Duration) {
+func (w *world) markAllDisturbed(d time.Duration) {
 	for _, a := range w.agents {
-		a.disturb(d)
+		a.markDisturbed(d)
 	}
 }
 
 // TestCrashingTasks runs random schedules in which some tasks crash the upstreams that start them, while upstreams also crash for
 // other causes: no such task is started three times more after three have crashed under it, and no job is called failed for
 // a task that was merely there.
-func TestCrashingTasks(t *testing.T) { searchProven(t, crashesFrom) }
+func TestCrashingTasks(t *testing.T) { searchExceptKnown(t, crashesFrom) }
 
 // searchProven runs schedules from a seed on, but for those in which nothing proves that a task crashes upstreams.
-func searchProven(t *testing.T, from uint64) {
+func searchExceptKnown(t *testing.T, from uint64) {
 	first, last := from+*seed, from+*seed+uint64(*schedules)
 	var ran int64
-	for _, except := range append(slices.Sorted(slices.Values(slices.Concat(unproven, startedTooOften, startedAgain))), last) {
+	for _, except := range append(slices.Sorted(slices.Values(slices.Concat(unproven, startedTooOften, startedAgainTooOften))), last) {
 		if except < first {
 			continue
 		}
-		w, s, n := search(first, int(min(except, last)-first), nil, someFaults)
+		w, s, n := search(first, int(min(except, last)-first), nil, faultCount)
 		if w != nil {
 			t.Fatal(w.report(s))
 		}
@@ -204,13 +204,13 @@
 var startedTooOften = []uint64{4000000125, 4000000726, 4000001199, 4133000154, 4133003648, 4133005147}
 
 // startedAgain are schedules that were traced, and in which a task is started once too often again since what is drawn in them has moved.
-var startedAgain = []uint64{4000206821, 4000217819}
+var startedAgainTooOften = []uint64{4000206821, 4000217819}
 
 // TestStartedTooOften guards against tasks that are started once too often while many upstreams crash for other causes.
 func TestStartedTooOften(t *testing.T) {
-	for _, s := range slices.Concat(startedTooOften, startedAgain) {
+	for _, s := range slices.Concat(startedTooOften, startedAgainTooOften) {
 		t.Run(fmt.Sprintf("seed_%d", s), func(t *testing.T) {
-			if w, _, _ := search(s, 1, nil, someFaults); w != nil {
+			if w, _, _ := search(s, 1, nil, faultCount); w != nil {
 				t.Fatal(w.report(s))
 			}
 		})
@@ -224,7 +224,7 @@
 func TestSoundJobCalledFailed(t *testing.T) {
 	for _, s := range calledFailed {
 		t.Run(fmt.Sprintf("seed_%d", s), func(t *testing.T) {
-			if w, _, _ := search(s, 1, nil, someFaults); w != nil {
+			if w, _, _ := search(s, 1, nil, faultCount); w != nil {
 				t.Fatal(w.report(s))
 			}
 		})
@@ -233,7 +233,7 @@
 
 // onceForgotten are schedules in which such a task was started too often, another was called failed, or a job was held for ever, before the
 // rules were what they are.
-var onceForgotten = []uint64{
+var tracedCrashes = []uint64{
 	4000000053, 4000000151, 4000000847, 4000001322, 4000001407, 4000002952, 4000004010, 4000005529, 4000006169, 4000006750, 4000007066, 4000007155,
 	4000000119, 4000000674, 4000001062, 4000001132, 4000001158, 4000001161, 4000001399, 4000001420, 4000001901, 4000001926, 4000002999, 4000003069, 4000003089,
 	4000000388, 4000000438, 4000000553, 4000000784, 4000000910, 4000000969, 4000003266, 4000003424, 4000009633, 5000000478, 5000002064, 5000002412, 5000002430, 5000002894, 5000003020, 5000003070,
@@ -251,15 +251,15 @@
 }
 
 // drawnWithFewer tells whether a seed's schedule was traced in worlds with fewer other crashes, which it is drawn in since.
-func drawnWithFewer(seed uint64) bool {
-	return slices.Contains(unproven, seed) || slices.Contains(onceForgotten, seed) || slices.Contains(startedAgain, seed) || slices.Contains(forgotten, seed)
+func hasFewerCrashes(seed uint64) bool {
+	return slices.Contains(unproven, seed) || slices.Contains(tracedCrashes, seed) || slices.Contains(startedAgainTooOften, seed) || slices.Contains(forgotten, seed)
 }
 
 // TestForgottenCrashes guards against tasks that are started once too often, since crashes under them were forgotten.
 func TestForgottenCrashes(t *testing.T) {
 	for _, s := range forgotten {
 		t.Run(fmt.Sprintf("seed_%d", s), func(t *testing.T) {
-			if w, _, _ := search(s, 1, nil, someFaults); w != nil {
+			if w, _, _ := search(s, 1, nil, faultCount); w != nil {
 				t.Fatal(w.report(s))
 			}
 		})
@@ -268,9 +268,9 @@
 
 // TestTracedCrashes runs those.
 func TestTracedCrashes(t *testing.T) {
-	for _, s := range onceForgotten {
+	for _, s := range tracedCrashes {
 		t.Run(fmt.Sprintf("seed_%d", s), func(t *testing.T) {
-			if w, _, _ := search(s, 1, nil, someFaults); w != nil {
+			if w, _, _ := search(s, 1, nil, faultCount); w != nil {
 				t.Fatal(w.report(s))
 			}
 		})
@@ -281,7 +281,7 @@
 func TestUnprovenCrashes(t *testing.T) {
 	for _, s := range unproven {
 		t.Run(fmt.Sprintf("seed_%d", s), func(t *testing.T) {
-			if w, _, _ := search(s, 1, nil, someFaults); w != nil {
+			if w, _, _ := search(s, 1, nil, faultCount); w != nil {
 				t.Fatal(w.report(s))
 			}
 		})
@@ -293,14 +293,14 @@
 	for _, apart := range []time.Duration{time.Second, 300 * time.Millisecond} {
 		t.Run(apart.String()+"_apart", func(t *testing.T) {
 			for s := range uint64(40) {
-				crashingTaskAlone(t, crashesFrom+s, apart)
+				runCrashingTaskAlone(t, crashesFrom+s, apart)
 			}
 		})
 	}
 }
 
 // crashingTaskAlone sends twelve jobs one after the other, of which two have a task that crashes upstreams.
-func crashingTaskAlone(t *testing.T, seed uint64, apart time.Duration) {
+func runCrashingTaskAlone(t *testing.T, seed uint64, apart time.Duration) {
 	w := newWorld(seed, nil)
 	w.build(2, 4)
 	var all []*submission
@@ -309,10 +309,10 @@
 			w.After(time.Duration(i)*apart, func() { all = append(all, w.submitPatient(i%6 == 1)) })
 		}
 	})
-	w.run(quiet)
-	qt.Assert(t, w.broken, qt.Equals, "", qt.Commentf("seed %d", seed))
+	w.run(settleTime)
+	qt.Assert(t, w.violation, qt.Equals, "", qt.Commentf("seed %d", seed))
 	for i, j := range all {
-		if j.left && !j.kept || j.cancelling {
+		if j.abandoned && !j.kept || j.cancelling {
 			continue // nobody hears how it ends
 		}
 		want := verdict.Complete
@@ -345,7 +345,7 @@
 }
 
 // tellCrashes is what the agent's node does with what its keeper, or an entry, has told of crashes.
-func (a *agentProc) tellCrashes(from *entryProc, all []fleet.Crash, refuted []fleet.Refutation) {
+func (a *agentProc) shareCrashes(from *entryProc, all []fleet.Crash, refuted []fleet.Refutation) {
 	news := a.crashes.AddAll(a.now(), all)
 	var lives []fleet.Refutation
 	for _, l := range refuted {
@@ -357,7 +357,7 @@
 	if from != nil {
 		news = a.crashes.SelectRepeated(news)
 	}
-	a.rememberCrashes()
+	a.storeCrashes()
 	for _, e := range a.w.entries {
 		if side := a.links[&e.proc]; side != nil && e != from && len(news)+len(lives) > 0 {
 			side.send(func() { e.adoptCrashes(a, news, lives) })
@@ -366,22 +366,22 @@
 }
 
 // crashWrite is how long the write of an agent's row takes, crashRead how long its next life takes to read it.
-const crashWrite, crashRead = 20 * time.Millisecond, 60 * time.Millisecond
+const rowWriteTime, rowReadTime = 20 * time.Millisecond, 60 * time.Millisecond
 
 // rememberCrashes lets the agent's row have what it knows of crashes of its own VM's upstreams.
-func (a *agentProc) rememberCrashes() {
+func (a *agentProc) storeCrashes() {
 	all, inc := a.crashes.CrashesOn(a.now(), ident.UpstreamName(a.name)), a.inc
 	if len(all) == 0 {
 		return
 	}
-	a.w.After(crashWrite, func() { a.doIn(inc, func() { a.rememberedCrashes = all }) })
+	a.w.After(rowWriteTime, func() { a.doIn(inc, func() { a.storedCrashes = all }) })
 }
 
 // recallCrashes is what an agent that starts does with what its row has of them.
-func (a *agentProc) recallCrashes() {
-	all, inc := a.rememberedCrashes, a.inc
+func (a *agentProc) loadCrashes() {
+	all, inc := a.storedCrashes, a.inc
 	if len(all) > 0 {
-		a.w.After(crashRead, func() { a.doIn(inc, func() { a.tellCrashes(nil, all, nil) }) })
+		a.w.After(rowReadTime, func() { a.doIn(inc, func() { a.shareCrashes(nil, all, nil) }) })
 	}
 }
 
@@ -401,13 +401,13 @@
 	news := known.SelectRepeated(e.table.HandleCrashes(e.now(), all))
 	for _, a := range e.w.agents {
 		if side := e.links[&a.proc]; side != nil && a != from && len(news)+len(lives) > 0 {
-			side.send(func() { a.tellCrashes(e, news, lives) })
+			side.send(func() { a.shareCrashes(e, news, lives) })
 		}
 	}
 }
 
 // greetCrashes tells an entry that has linked what the agent knows of crashes.
-func (a *agentProc) greetCrashes(side *linkSide) {
+func (a *agentProc) sendKnownCrashes(side *linkSide) {
 	if all := a.crashes.All(a.now()); len(all) > 0 {
 		for _, e := range a.w.entries {
 			if side.other.owner == &e.proc {
@@ -418,11 +418,11 @@
 }
 
 // greetCrashes tells an agent that has linked what the entry knows of repeated crashes.
-func (e *entryProc) greetCrashes(side *linkSide) {
+func (e *entryProc) sendKnownCrashes(side *linkSide) {
 	if known := e.table.Crashes().Repeated(e.now()); len(known) > 0 {
 		for _, a := range e.w.agents {
 			if side.other.owner == &a.proc {
-				side.send(func() { a.tellCrashes(e, known, nil) })
+				side.send(func() { a.shareCrashes(e, known, nil) })
 			}
 		}
 	}
--- a/internal/proof/schedule/faults_test.go
+++ b/internal/proof/schedule/faults_test.go
@@ -12,12 +12,12 @@
 	if !e.alive {
 		return
 	}
-	w.note("%s is killed (power %v)", e.name, power)
-	e.alive, e.power = false, power
+	w.logf("%s is killed (power %v)", e.name, power)
+	e.alive, e.powerLost = false, power
 	e.inc = 0
 	for _, p := range w.pairs {
 		if p.e == e {
-			w.snapSide(p, p.a.links[&e.proc], power)
+			w.breakSide(p, p.a.links[&e.proc], power)
 		}
 	}
 	var open []openRequest
@@ -30,10 +30,10 @@
 	e.open = nil
 	if !power {
 		for _, o := range open {
-			o.s.broken(o.a)
+			o.s.connectionLost(o.a)
 		}
 	}
-	w.After(down, func() { w.startEntry(e); w.note("%s starts", e.name) })
+	w.After(down, func() { w.startEntry(e); w.logf("%s starts", e.name) })
 }
 
 // endAgent kills an agent; its upstream runs on until the lease lapses.
@@ -41,40 +41,40 @@
 	if !a.alive {
 		return
 	}
-	w.note("%s is killed (power %v)", a.name, power)
-	a.disturb(down)
+	w.logf("%s is killed (power %v)", a.name, power)
+	a.markDisturbed(down)
 	a.alive = false
 	a.inc = 0
 	for _, p := range w.pairs {
 		if p.a == a {
-			w.snapSide(p, p.e.links[&a.proc], power)
+			w.breakSide(p, p.e.links[&a.proc], power)
 		}
 	}
-	w.After(down, func() { w.startAgent(a); w.note("%s starts", a.name) })
+	w.After(down, func() { w.startAgent(a); w.logf("%s starts", a.name) })
 }
 
 // snapSide lets the survivor's side of a link notice its end, unless that is silent.
-func (w *world) snapSide(p *pair, s *linkSide, silent bool) {
+func (w *world) breakSide(p *pair, s *linkSide, silent bool) {
 	if s != nil && !silent {
-		w.After(w.between(0, 5*time.Millisecond), func() { p.noticed(s) })
+		w.After(w.between(0, 5*time.Millisecond), func() { p.detectBroken(s) })
 	}
 }
 
 // cut holds up the messages of a pair, in one direction or both.
-func (w *world) cut(p *pair, d time.Duration) {
+func (w *world) partition(p *pair, d time.Duration) {
 	both := w.chance(0.6)
 	toAgent := both || w.chance(0.5)
-	p.toAgent, p.toEnt = toAgent || p.toAgent, both || !toAgent || p.toEnt
-	w.note("%s and %s are cut off for %v (to agent %v, to entry %v)", p.e.name, p.a.name, d, p.toAgent, p.toEnt)
+	p.cutToAgent, p.cutToEntry = toAgent || p.cutToAgent, both || !toAgent || p.cutToEntry
+	w.logf("%s and %s are cut off for %v (to agent %v, to entry %v)", p.e.name, p.a.name, d, p.cutToAgent, p.cutToEntry)
 	w.After(d, p.heal)
 }
 
 // heal ends the cuts of a pair, unless its entry is cut off from everything for longer.
 func (p *pair) heal() {
-	if w := p.e.w; !w.odds.agentsHeard && w.Now().Before(p.e.cutUntil) {
+	if w := p.e.w; !w.profile.agentsReachable && w.Now().Before(p.e.isolatedUntil) {
 		return
 	}
-	p.toAgent, p.toEnt = false, false
+	p.cutToAgent, p.cutToEntry = false, false
 	open := p.open[:0]
 	for _, s := range p.open {
 		if s.open {
@@ -86,18 +86,18 @@
 }
 
 // window sets something for a while.
-func (w *world) window(what string, d time.Duration, set, unset func()) {
-	w.note("%s for %v", what, d)
+func (w *world) setDuring(what string, d time.Duration, set, unset func()) {
+	w.logf("%s for %v", what, d)
 	set()
 	w.After(d, unset)
 }
 
 // rebirth lets an upstream that is cut off for a while crash meanwhile and, as often as not, its agent end and start again,
 // so that it has heard of neither life.
-func (w *world) rebirth(a *agentProc, cut time.Duration) {
+func (w *world) crashBehindCut(a *agentProc, cut time.Duration) {
 	if w.chance(0.5) {
 		w.After(w.between(0, cut), func() {
-			w.note("%s crashes behind the cut", a.upstream.id)
+			w.logf("%s crashes behind the cut", a.upstream.id)
 			a.upstream.crash(w.between(0, cut))
 		})
 	}
@@ -107,11 +107,11 @@
 }
 
 // restarts lets upstreams start again and leave, where they keep their ids.
-func (w *world) restarts() {
-	if !w.odds.restarts {
+func (w *world) planRestarts() {
+	if !w.profile.restarts {
 		return
 	}
-	w.powerLoss()
+	w.planPowerLoss()
 	for range 1 + w.rng.IntN(4) {
 		u := w.agents[w.rng.IntN(len(w.agents))].upstream
 		down := w.between(0, 800*time.Millisecond)
@@ -120,12 +120,12 @@
 		}
 		if w.chance(0.4) {
 			serves := w.between(500*time.Millisecond, 3*time.Second)
-			w.After(w.between(0, busy), func() { u.leave(serves, down) })
+			w.After(w.between(0, activePeriod), func() { u.drain(serves, down) })
 			continue
 		}
-		w.After(w.between(0, busy), func() {
+		w.After(w.between(0, activePeriod), func() {
 			if u.up {
-				w.note("%s crashes for %v", u.id, down)
+				w.logf("%s crashes for %v", u.id, down)
 				u.crash(down)
 			}
 		})
@@ -134,12 +134,12 @@
 
 // powerLoss lets, in every fourth schedule, all VMs lose power at once, those of upstreams too. It draws by itself, so that all other
 // draws of a seed are what they were when its schedule was traced.
-func (w *world) powerLoss() {
+func (w *world) planPowerLoss() {
 	if w.seed%4 != 2 {
 		return
 	}
 	rng := rand.New(rand.NewPCG(w.seed, 3))
-	at := time.Duration(rng.Int64N(int64(busy)))
+	at := time.Duration(rng.Int64N(int64(activePeriod)))
 	down := time.Duration(rng.Int64N(int64(2 * time.Second)))
 	w.After(at, func() {
 		for _, e := range w.entries {
@@ -155,18 +155,18 @@
 }
 
 // slowLinks lets links be slow for a while.
-func (w *world) slowLinks() {
-	for range w.odds.slowLinks {
-		w.After(w.between(0, busy), func() {
+func (w *world) planSlowLinks() {
+	for range w.profile.extraSlowLinks {
+		w.After(w.between(0, activePeriod), func() {
 			p := w.pairs[w.rng.IntN(len(w.pairs))]
 			slow := w.between(20*time.Millisecond, 300*time.Millisecond)
-			w.window("the link of "+p.e.name+" and "+p.a.name+" is slow", w.between(time.Second, 3*time.Second), func() { p.slow = slow }, func() { p.slow = 0 })
+			w.setDuring("the link of "+p.e.name+" and "+p.a.name+" is slow", w.between(time.Second, 3*time.Second), func() { p.slow = slow }, func() { p.slow = 0 })
 		})
 	}
 }
 
 // fault lets one thing go wrong.
-func (w *world) fault() {
+func (w *world) injectFault() {
 	w.faults++
 	e, a := w.entries[w.rng.IntN(len(w.entries))], w.agents[w.rng.IntN(len(w.agents))]
 	p := w.pairs[w.rng.IntN(len(w.pairs))]
@@ -181,53 +181,53 @@
 	case 4:
 		e.freeze(short)
 	case 5:
-		a.disturb(short)
+		a.markDisturbed(short)
 		a.freeze(short)
 	case 6, 7:
-		p.a.disturb(short)
-		w.cut(p, short)
+		p.a.markDisturbed(short)
+		w.partition(p, short)
 	case 8:
-		p.a.disturb(0)
-		w.snap(p, w.chance(0.3))
+		p.a.markDisturbed(0)
+		w.breakLink(p, w.chance(0.3))
 	case 9:
-		w.note("%s crashes", u.id)
+		w.logf("%s crashes", u.id)
 		u.crash(down)
 	case 10:
-		w.window("upstream "+u.name+" is cut off", short, func() { u.cut = true }, func() { u.cut = false })
-		if w.holdBeats {
-			w.rebirth(a, short)
+		w.setDuring("upstream "+u.name+" is cut off", short, func() { u.cut = true }, func() { u.cut = false })
+		if w.delayHeartbeats {
+			w.crashBehindCut(a, short)
 		}
 	case 11, 12:
 		late, loses := w.rng.Float64(), 0.3+0.6*w.rng.Float64()
-		w.window("upstream "+u.name+" loses orders", short, func() { u.loses, u.late, u.vanish = loses, late, w.chance(0.5) }, func() { u.loses = 0 })
+		w.setDuring("upstream "+u.name+" loses orders", short, func() { u.lossRate, u.lateRate, u.dropsLost = loses, late, w.chance(0.5) }, func() { u.lossRate = 0 })
 	case 13:
-		w.window("upstream "+u.name+" fails", short, func() { u.fails = w.rng.Float64() }, func() { u.fails = 0 })
+		w.setDuring("upstream "+u.name+" fails", short, func() { u.failRate = w.rng.Float64() }, func() { u.failRate = 0 })
 	case 14:
-		w.window("upstream "+u.name+" hangs", short, func() { u.hangs = w.rng.Float64() }, func() { u.hangs = 0 })
+		w.setDuring("upstream "+u.name+" hangs", short, func() { u.hangRate = w.rng.Float64() }, func() { u.hangRate = 0 })
 	case 15:
-		if w.odds.cutOff {
-			w.cuts.off(e, short)
+		if w.profile.partitions {
+			w.partitions.isolate(e, short)
 			return
 		}
-		w.window("callers are cut off from "+e.name, short, func() { e.clientCut = true }, func() { e.clientCut = false })
+		w.setDuring("callers are cut off from "+e.name, short, func() { e.callersCut = true }, func() { e.callersCut = false })
 	case 16:
 		slow := w.between(50*time.Millisecond, 2*time.Second)
-		p.a.disturb(short)
-		w.window("the link of "+p.e.name+" and "+p.a.name+" is slow", short, func() { p.slow = slow }, func() { p.slow = 0 })
+		p.a.markDisturbed(short)
+		w.setDuring("the link of "+p.e.name+" and "+p.a.name+" is slow", short, func() { p.slow = slow }, func() { p.slow = 0 })
 	case 18:
-		w.window("upstream "+u.name+" is slow", short, func() { u.slow = 2 + 4*w.rng.Float64() }, func() { u.slow = 0 })
+		w.setDuring("upstream "+u.name+" is slow", short, func() { u.slowdown = 2 + 4*w.rng.Float64() }, func() { u.slowdown = 0 })
 	case 19:
-		w.disturbAll(short)
-		w.window("the store is silent", short, func() { w.store.silent = true }, func() { w.store.silent = false })
+		w.markAllDisturbed(short)
+		w.setDuring("the store is silent", short, func() { w.store.silent = true }, func() { w.store.silent = false })
 	case 20:
-		w.disturbAll(short)
-		w.window("the store is busy", short, func() { w.store.busy = true }, func() { w.store.busy = false })
+		w.markAllDisturbed(short)
+		w.setDuring("the store is busy", short, func() { w.store.busy = true }, func() { w.store.busy = false })
 	case 21, 22:
 		loses, late := 0.2+0.6*w.rng.Float64(), w.rng.Float64()
-		w.disturbAll(short)
-		w.window("the store loses answers", short, func() { w.store.loses, w.store.late = loses, late }, func() { w.store.loses = 0 })
+		w.markAllDisturbed(short)
+		w.setDuring("the store loses answers", short, func() { w.store.lossRate, w.store.lateRate = loses, late }, func() { w.store.lossRate = 0 })
 	case 23:
-		w.window("the store is out of reach of "+e.name, w.between(time.Second, 6*time.Second), func() { e.storeCut = true }, func() { e.storeCut = false })
+		w.setDuring("the store is out of reach of "+e.name, w.between(time.Second, 6*time.Second), func() { e.storeCut = true }, func() { e.storeCut = false })
 	case 17:
 		power := w.chance(0.5)
 		for _, x := range w.entries {
--- a/internal/proof/schedule/kept_test.go
+++ b/internal/proof/schedule/kept_test.go
@@ -17,10 +17,10 @@
 )
 
 // cancelWithin is how long after its cancellation is known to the caller nothing of a job may start.
-const cancelWithin = 3 * time.Second
+const cancelBound = 3 * time.Second
 
 // accepted checks that a job whose caller hears that it is kept is stored, and lets some callers cancel it.
-func (w *world) accepted(s *submission) {
+func (w *world) handleAccepted(s *submission) {
 	if w.store.Rows[layout.JobKey(s.id)].Version == 0 {
 		w.violate("job %v is called accepted, and is not stored", s.id)
 	}
@@ -29,23 +29,23 @@
 	}
 	s.accepted = true
 	for range 3 {
-		w.After(w.between(0, 6*time.Second), s.ask)
+		w.After(w.between(0, 6*time.Second), s.queryState)
 	}
 }
 
 // ask asks some entry for the job's state.
-func (s *submission) ask() {
+func (s *submission) queryState() {
 	w := s.w
 	e := w.entries[w.rng.IntN(len(w.entries))]
 	e.do(func() {
 		if state, known := e.keptJobs.State(s.id); known && state != verdict.Running {
-			s.shown(state)
+			s.checkEndState(state)
 		}
 	})
 }
 
 // shown checks a state in which a kept job is shown as ended.
-func (s *submission) shown(state verdict.State) {
+func (s *submission) checkEndState(state verdict.State) {
 	w := s.w
 	if w.store.Rows[layout.EndedKey(s.id)].Version == 0 {
 		w.violate("job %v is shown as %s, and that is not stored", s.id, state)
@@ -58,11 +58,11 @@
 			}
 		}
 	case verdict.Failed:
-		if s.crashedUnder() {
+		if s.hasCrashedUpstreams() {
 			return
 		}
 		for _, t := range s.tasks {
-			if t.failed >= publish.Attempts {
+			if t.failed >= publishRoute.Attempts {
 				return
 			}
 		}
@@ -92,7 +92,7 @@
 	s.cancelling = true
 	caller := dispatch.CallerID(uint64(s.id)<<8 | 0xff)
 	e.do(func() {
-		e.waiting[caller] = func(a dispatch.Answer) { s.cancelled(a.State) }
+		e.waiting[caller] = func(a dispatch.Answer) { s.recordCancelled(a.State) }
 		if e.keptJobs.Cancel(e.now(), s.id, caller) {
 			return
 		}
@@ -100,51 +100,51 @@
 		if w.store.silent || w.store.busy || e.storeCut {
 			return
 		}
-		state, err := jobstore.NewReader(atOnce{w.store}, layout, time.Hour).Cancel(context.Background(), s.id)
+		state, err := jobstore.NewReader(instantStore{w.store}, layout, time.Hour).Cancel(context.Background(), s.id)
 		if err != nil {
 			w.violate("cancel: %v", err)
 		}
-		s.cancelled(state)
+		s.recordCancelled(state)
 	})
 }
 
 // cancelled notes that the caller knows of its job's end.
-func (s *submission) cancelled(state verdict.State) {
-	s.w.note("cancelling job %v is answered %s", s.id, state)
+func (s *submission) recordCancelled(state verdict.State) {
+	s.w.logf("cancelling job %v is answered %s", s.id, state)
 	if state == verdict.Cancelled && s.cancelledAt.IsZero() {
 		s.cancelledAt = s.w.Now()
 	}
 }
 
 // atOnce is a store whose calls take no time.
-type atOnce struct{ s *simStore }
+type instantStore struct{ s *simStore }
 
-func (a atOnce) Commit(_ context.Context, t rows.Txn) (rows.Version, error) {
+func (a instantStore) Commit(_ context.Context, t rows.Txn) (rows.Version, error) {
 	if !a.s.commit(t) {
 		return 0, rows.ErrConflict
 	}
 	return a.s.Version, nil
 }
 
-func (a atOnce) Read(_ context.Context, k rows.Key) (rows.Row, error) { return a.s.Rows[k], nil }
+func (a instantStore) Read(_ context.Context, k rows.Key) (rows.Row, error) { return a.s.Rows[k], nil }
 
-func (a atOnce) Range(_ context.Context, r rows.Range) (rows.Page, error) {
+func (a instantStore) Range(_ context.Context, r rows.Range) (rows.Page, error) {
 	return a.s.list(r.Table), nil
 }
 
 // starts checks the start of a kept job's task.
-func (s *submission) starts(task job.TaskID) {
+func (s *submission) checkStart(task job.TaskID) {
 	w, t := s.w, &s.tasks[task.Index]
 	t.started = w.Now()
 	if !s.kept {
 		return
 	}
 	switch {
-	case t.noted:
+	case t.doneForgotten:
 		w.violate("%v starts though the end of a run that went well was noted", task)
-	case t.notedFailures >= publish.Attempts:
-		w.violate("%v starts though %d failures of it were noted", task, t.notedFailures)
-	case !s.cancelledAt.IsZero() && w.Now().Sub(s.cancelledAt) > cancelWithin:
+	case t.failuresForgotten >= publishRoute.Attempts:
+		w.violate("%v starts though %d failures of it were noted", task, t.failuresForgotten)
+	case !s.cancelledAt.IsZero() && w.Now().Sub(s.cancelledAt) > cancelBound:
 		w.violate("%v starts long after its job was cancelled", task)
 	}
 }
@@ -156,7 +156,7 @@
 }
 
 // forgets checks an end that the upstream may forget. One after which the lease has lapsed counts for nothing.
-func (u *simUpstream) forgets(e simEnd) {
+func (u *simUpstream) recordForgotten(e simEnd) {
 	s := u.w.jobs[e.Task.Job]
 	if !s.kept || u.lapsedSince(e.at) {
 		return
@@ -164,23 +164,23 @@
 	t := &s.tasks[e.Task.Index]
 	switch e.Result {
 	case call.ResultDone:
-		t.noted = true
+		t.doneForgotten = true
 		if t.started.After(e.at) {
 			u.w.violate("the end of a run of %v that went well is noted, and it has started again since", e.Task)
 		}
 	case call.ResultFailed:
-		t.notedFailures++
+		t.failuresForgotten++
 	}
 }
 
 // lapsedSince tells whether the lease has lapsed since a moment, or is not alive.
 func (u *simUpstream) lapsedSince(at time.Time) bool {
-	return !u.lapsed.Before(at) || u.clock() > u.until
+	return !u.lastLapse.Before(at) || u.clock() > u.leaseUntil
 }
 
 // lapseTime is when the present lease ends, or has ended.
 func (u *simUpstream) lapseTime() time.Time {
-	return u.born.Add(time.Duration(float64(u.until) / u.rate))
+	return u.born.Add(time.Duration(float64(u.leaseUntil) / u.rate))
 }
 
 // checkKept checks that every kept job has ended, and how.
@@ -203,7 +203,7 @@
 		if err != nil {
 			w.violate("a row that can't be read: %v", err)
 		}
-		s.shown(ended.State)
+		s.checkEndState(ended.State)
 	}
 	for _, e := range w.entries {
 		if n := e.keptJobs.Len(); n > 0 && e.alive {
@@ -218,20 +218,20 @@
 }
 
 // noteWriter writes log lines among the notes of a schedule.
-type noteWriter struct {
+type logWriter struct {
 	w    *world
 	name string
 }
 
-func (n noteWriter) Write(line []byte) (int, error) {
-	n.w.note("%s: %s", n.name, strings.TrimSpace(string(line)))
+func (n logWriter) Write(line []byte) (int, error) {
+	n.w.logf("%s: %s", n.name, strings.TrimSpace(string(line)))
 	return len(line), nil
 }
 
 // log returns a log of a process that goes among the notes.
-func (w *world) logOf(name string) *logrus.Entry {
+func (w *world) newLog(name string) *logrus.Entry {
 	l := logrus.New()
-	l.SetOutput(noteWriter{w, name})
+	l.SetOutput(logWriter{w, name})
 	l.SetFormatter(&logrus.TextFormatter{DisableTimestamp: true, DisableColors: true})
 	return logrus.NewEntry(l)
 }
--- a/internal/proof/schedule/link_test.go
+++ b/internal/proof/schedule/link_test.go
@@ -9,22 +9,22 @@
 
 // linkSide is one side of a link.
 type linkSide struct {
-	other *linkSide
-	owner *proc
-	inc   ident.Incarnation
-	open  bool
-	heard time.Time
+	other     *linkSide
+	owner     *proc
+	inc       ident.Incarnation
+	open      bool
+	lastHeard time.Time
 	// next is when the newest message to the other side arrives; order is kept.
-	next  time.Time
-	clock time.Duration
-	ping  time.Time
+	lastArrival time.Time
+	agentClock  time.Duration
+	lastPing    time.Time
 	// cordons is what the other side knows of cordons.
 	cordons *cordon.Peer
 	// slow is the longest delay of a message, which many links share.
 	slow *time.Duration
 	// cut: messages to the other side wait until the cut ends.
-	cut  *bool
-	wait []func()
+	cut     *bool
+	delayed []func()
 }
 
 // send carries a message to the other side, in order.
@@ -37,67 +37,67 @@
 		if o.open && o.owner.inc == o.inc {
 			o.owner.do(func() {
 				if o.open && o.owner.inc == o.inc {
-					o.heard = o.owner.now()
-					o.owner.hear()
+					o.lastHeard = o.owner.now()
+					o.owner.recordContact()
 					f()
 				}
 			})
 		}
 	}
 	if *s.cut {
-		s.wait = append(s.wait, deliver)
+		s.delayed = append(s.delayed, deliver)
 		return
 	}
-	s.carry(deliver)
+	s.schedule(deliver)
 }
 
-func (s *linkSide) carry(deliver func()) {
+func (s *linkSide) schedule(deliver func()) {
 	w := s.owner.w
-	at := w.Now().Add(w.between(100*time.Microsecond, 3*time.Millisecond+*s.slow) + w.sliced.delay())
-	if !at.After(s.next) {
-		at = s.next.Add(time.Microsecond)
+	at := w.Now().Add(w.between(100*time.Microsecond, 3*time.Millisecond+*s.slow) + w.cpuStarvation.drawDelay())
+	if !at.After(s.lastArrival) {
+		at = s.lastArrival.Add(time.Microsecond)
 	}
-	s.next = at
+	s.lastArrival = at
 	w.After(at.Sub(w.Now()), deliver)
 }
 
 // heal lets messages that a cut held up arrive late.
 func (s *linkSide) heal() {
-	waiting := s.wait
-	s.wait = nil
+	waiting := s.delayed
+	s.delayed = nil
 	for _, f := range waiting {
-		s.carry(f)
+		s.schedule(f)
 	}
 }
 
 // pair is an entry and an agent; the cuts are one for each direction.
 type pair struct {
-	e              *entryProc
-	a              *agentProc
-	toAgent, toEnt bool
-	slow           time.Duration
-	open           []*linkSide
+	e                      *entryProc
+	a                      *agentProc
+	cutToAgent, cutToEntry bool
+	slow                   time.Duration
+	open                   []*linkSide
 	// last is the entry's life that was linked last.
-	last ident.Incarnation
+	linkedInc ident.Incarnation
 }
 
 // dial keeps a pair linked.
 func (w *world) dial(p *pair) {
-	ready := p.e.alive && p.a.alive && !p.e.frozen && !p.a.frozen && !p.toAgent && !p.toEnt
+	ready := p.e.alive && p.a.alive && !p.e.frozen && !p.a.frozen && !p.cutToAgent && !p.cutToEntry
 	if ready && p.a.links[&p.e.proc] == nil {
 		w.link(p)
 	}
-	if !p.e.alive && !p.e.power && p.a.alive && !p.a.frozen && !p.toAgent && !p.toEnt {
+	if !p.e.alive && !p.e.powerLost && p.a.alive && !p.a.frozen && !p.cutToAgent && !p.cutToEntry {
 		// The VM answers that nobody listens.
-		p.a.manager.EntryGone(p.a.now(), p.last, "refused")
+		p.a.controller.EntryGone(p.a.now(), p.linkedInc, "refused")
 		p.a.flush()
 	}
-	w.After(redial, func() { w.dial(p) })
+	w.After(redialInterval, func() { w.dial(p) })
 }
 
 func (w *world) link(p *pair) {
-	toAgent := &linkSide{owner: &p.e.proc, inc: p.e.inc, open: true, heard: p.e.now(), cut: &p.toAgent, slow: &p.slow, cordons: cordon.NewPeer()}
-	toEntry := &linkSide{owner: &p.a.proc, inc: p.a.inc, open: true, heard: p.a.now(), cut: &p.toEnt, slow: &p.slow, cordons: cordon.NewPeerWithoutCordons()}
+	toAgent := &linkSide{owner: &p.e.proc, inc: p.e.inc, open: true, lastHeard: p.e.now(), cut: &p.cutToAgent, slow: &p.slow, cordons: cordon.NewPeer()}
+	toEntry := &linkSide{owner: &p.a.proc, inc: p.a.inc, open: true, lastHeard: p.a.now(), cut: &p.cutToEntry, slow: &p.slow, cordons: cordon.NewPeerWithoutCordons()}
 	toAgent.other, toEntry.other = toEntry, toAgent
 	p.open = append(p.open, toAgent, toEntry)
 	if old := p.e.links[&p.a.proc]; old != nil {
@@ -105,22 +105,22 @@
 		p.e.unlinked(old.other.inc)
 	}
 	p.e.links[&p.a.proc], p.a.links[&p.e.proc] = toAgent, toEntry
-	if p.last != p.e.inc {
-		p.a.manager.EntryGone(p.a.now(), p.last, "restarted")
-		p.last = p.e.inc
+	if p.linkedInc != p.e.inc {
+		p.a.controller.EntryGone(p.a.now(), p.linkedInc, "restarted")
+		p.linkedInc = p.e.inc
 	}
-	p.e.hear()
+	p.e.recordContact()
 	p.e.table.HandleLinked(p.e.now(), p.a.inc, ident.UpstreamName(p.a.name), w.zoneOf(p.a))
-	p.a.greetCrashes(toEntry)
-	p.a.manager.EntryLinked(p.a.now(), p.e.inc)
-	p.e.tellCordons(toAgent)
-	p.e.greetCrashes(toAgent)
-	p.a.tellCordons(toEntry)
+	p.a.sendKnownCrashes(toEntry)
+	p.a.controller.EntryLinked(p.a.now(), p.e.inc)
+	p.e.sendCordons(toAgent)
+	p.e.sendKnownCrashes(toAgent)
+	p.a.sendCordons(toEntry)
 	p.a.flush()
 }
 
 // snap breaks a pair's link; each side learns of it, or only by the other's silence.
-func (w *world) snap(p *pair, silent bool) {
+func (w *world) breakLink(p *pair, silent bool) {
 	for _, s := range []*linkSide{p.e.links[&p.a.proc], p.a.links[&p.e.proc]} {
 		if s == nil {
 			continue
@@ -129,12 +129,12 @@
 			continue
 		}
 		side := s
-		w.After(w.between(0, 5*time.Millisecond), func() { p.noticed(side) })
+		w.After(w.between(0, 5*time.Millisecond), func() { p.detectBroken(side) })
 	}
 }
 
 // noticed lets one side take in that its link is broken.
-func (p *pair) noticed(s *linkSide) {
+func (p *pair) detectBroken(s *linkSide) {
 	s.owner.doIn(s.inc, func() {
 		if !s.open {
 			return
@@ -146,7 +146,7 @@
 		}
 		if s.owner == &p.a.proc && p.a.links[&p.e.proc] == s {
 			delete(p.a.links, &p.e.proc)
-			p.a.manager.EntryUnlinked(p.a.now(), s.other.inc, "broken")
+			p.a.controller.EntryUnlinked(p.a.now(), s.other.inc, "broken")
 			p.a.flush()
 		}
 	})
--- a/internal/proof/schedule/same_test.go
+++ b/internal/proof/schedule/same_test.go
@@ -20,10 +20,10 @@
 // changes what is decided writes it anew (make same).
 func TestSame(t *testing.T) {
 	var b strings.Builder
-	for _, from := range []uint64{1, impatientFrom, restartsFrom, cordonsFrom, crashesFrom, hardFrom, cutsFrom, callsFrom, slicedFrom} {
+	for _, from := range []uint64{1, impatientFrom, restartsFrom, cordonsFrom, crashesFrom, vmFaultsFrom, partitionsFrom, lateCallsFrom, cpuStarvationFrom} {
 		all := sha256.New()
 		for s := range uint64(12) {
-			w := schedule(from+s, nil, someFaults(from+s))
+			w := runSchedule(from+s, nil, faultCount(from+s))
 			fmt.Fprintln(all, strings.Join(w.log, "\n"))
 		}
 		fmt.Fprintf(&b, "schedules from %d: %x\n", from, all.Sum(nil)[:8])
--- a/internal/proof/schedule/schedule_test.go
+++ b/internal/proof/schedule/schedule_test.go
@@ -20,27 +20,27 @@
 )
 
 var (
-	schedules = flag.Int("schedules", usual, "how many random schedules to run")
+	schedules = flag.Int("schedules", defaultSchedules, "how many random schedules to run")
 	seed      = flag.Uint64("seed", 1, "the first schedule's seed")
 )
 
 // usual is how many schedules of a kind are run, usualLong of one with many jobs or calls, which take three times as long.
-const usual, usualLong = 1500, 500
+const defaultSchedules, defaultLongSchedules = 1500, 500
 
 // longSchedules is how many schedules of such a kind are run: as many as the flag says, if it says so.
 func longSchedules() int {
-	if *schedules == usual {
-		return usualLong
+	if *schedules == defaultSchedules {
+		return defaultLongSchedules
 	}
 	return *schedules
 }
 
 const (
 	// busy is how long jobs come and things go wrong.
-	busy = 5 * time.Second
+	activePeriod = 5 * time.Second
 	// quiet is by when everything must have come to rest: the longest patience, three attempts with their pauses,
 	// and 12 s for orders that are carried out late.
-	quiet = 30 * time.Second
+	settleTime = 30 * time.Second
 )
 
 // gcPercent lets the heap grow to many times its live size: schedules keep little and drop much, and with the usual
@@ -53,37 +53,37 @@
 }
 
 // schedule runs one schedule and returns its world.
-func schedule(s uint64, without rule.Set, faults int) *world {
+func runSchedule(s uint64, without rule.Set, faults int) *world {
 	w := newWorld(s, without)
-	w.build(2, 2+w.rng.IntN(2)+w.odds.moreAgents)
-	jobs := (10 + w.rng.IntN(25)) * w.odds.moreJobs
+	w.build(2, 2+w.rng.IntN(2)+w.profile.extraAgents)
+	jobs := (10 + w.rng.IntN(25)) * w.profile.jobFactor
 	w.After(time.Second, func() {
 		for range jobs {
-			w.After(w.between(0, busy), w.submit)
+			w.After(w.between(0, activePeriod), w.submit)
 		}
 		for range faults {
-			w.After(w.between(0, busy), w.fault)
+			w.After(w.between(0, activePeriod), w.injectFault)
 		}
-		w.slowLinks()
-		w.restarts()
+		w.planSlowLinks()
+		w.planRestarts()
 		w.operators.act()
 		w.crashes.act()
-		w.hard.act()
-		w.cuts.act()
-		w.calls.act()
-		w.sliced.act()
+		w.vmFaults.act()
+		w.partitions.act()
+		w.lateCalls.act()
+		w.cpuStarvation.act()
 	})
 	if faults > 0 {
-		w.removeSome(s)
+		w.planRemoval(s)
 	}
 	w.watchCancelled()
-	w.run(quiet * time.Duration(w.odds.moreJobs)) // more jobs take longer to end
-	if (w.odds.restarts || w.odds.crashes) && w.broken == "" && !w.atRest() {
+	w.run(settleTime * time.Duration(w.profile.jobFactor)) // more jobs take longer to end
+	if (w.profile.restarts || w.profile.crashes) && w.violation == "" && !w.atRest() {
 		// So do those whose upstreams leave for seconds and are slow as well (seed 2000013041: a kept job's task that was lost with
 		// its upstream and took 22 s more), and those whose upstreams are away for most of the time.
-		w.run(2 * quiet)
+		w.run(2 * settleTime)
 	}
-	if w.broken == "" {
+	if w.violation == "" {
 		w.checkRest()
 	}
 	return w
@@ -95,7 +95,7 @@
 		a.upstream = &simUpstream{w: w, name: fmt.Sprintf("upstream-%d", i), agent: a}
 		w.agents = append(w.agents, a)
 		w.startAgent(a)
-		a.upstream.begin()
+		a.upstream.startLife()
 	}
 	for i := range entries {
 		e := &entryProc{proc: proc{w: w, name: fmt.Sprintf("entry-%d", i)}}
@@ -117,7 +117,7 @@
 		}
 	}
 	for _, a := range w.agents {
-		if a.alive && a.manager.RunCount()+len(a.upstream.ends)+len(a.upstream.runs) > 0 {
+		if a.alive && a.controller.RunCount()+len(a.upstream.ends)+len(a.upstream.runs) > 0 {
 			return false
 		}
 	}
@@ -137,7 +137,7 @@
 		}
 	}
 	for _, a := range w.agents {
-		if n := a.manager.RunCount(); n > 0 && a.alive {
+		if n := a.controller.RunCount(); n > 0 && a.alive {
 			w.violate("%s still counts %d runs", a.name, n)
 		}
 		if n := len(a.upstream.runs); n > 0 {
@@ -158,7 +158,7 @@
 // report prints a schedule that failed.
 func (w *world) report(s uint64) string {
 	from := max(len(w.log)-200, 0)
-	return fmt.Sprintf("seed %d: %s\n%s", s, w.broken, strings.Join(w.log[from:], "\n"))
+	return fmt.Sprintf("seed %d: %s\n%s", s, w.violation, strings.Join(w.log[from:], "\n"))
 }
 
 // search runs schedules on all processors and returns the first that fails, or nil.
@@ -172,9 +172,9 @@
 		if stop {
 			return false
 		}
-		w := schedule(first+i, without, faults(first+i))
+		w := runSchedule(first+i, without, faults(first+i))
 		count.Add(1)
-		if w.broken == "" {
+		if w.violation == "" {
 			return true
 		}
 		mu.Lock()
@@ -201,12 +201,12 @@
 }
 
 // someFaults is how many things go wrong in a schedule.
-func someFaults(s uint64) int { return int(s % 9) }
+func faultCount(s uint64) int { return int(s % 9) }
 
 // noViolation runs random schedules of one kind, and fails with the first that violates something.
-func noViolation(t *testing.T, first uint64, n int) {
+func requireNoViolation(t *testing.T, first uint64, n int) {
 	t.Helper()
-	w, s, ran := search(first, n, nil, someFaults)
+	w, s, ran := search(first, n, nil, faultCount)
 	if w != nil {
 		t.Fatal(w.report(s))
 	}
@@ -216,44 +216,44 @@
 // TestSchedules runs random schedules with up to eight faults that overlap.
 func TestSchedules(t *testing.T) {
 	before := invariant.Violations()
-	noViolation(t, *seed, *schedules)
+	requireNoViolation(t, *seed, *schedules)
 	qt.Assert(t, invariant.Violations(), qt.Equals, before)
 }
 
 // TestImpatientCallers runs random schedules in which jobs are often given up and sent again at once, over slow links: what
 // was said of the former runs arrives while the new ones are under way.
 func TestImpatientCallers(t *testing.T) {
-	noViolation(t, impatientFrom+*seed, *schedules)
+	requireNoViolation(t, impatientFrom+*seed, *schedules)
 }
 
 // TestRestartedUpstreams runs random schedules in which upstreams start again under the ids that they had, also at once, and leave
 // and come back.
 func TestRestartedUpstreams(t *testing.T) {
-	noViolation(t, restartsFrom+*seed, *schedules)
+	requireNoViolation(t, restartsFrom+*seed, *schedules)
 }
 
 // TestCordonedZones runs random schedules in which operators cordon zones and lift the cordons, while the store turns processes away,
 // is silent, or is read late.
 func TestCordonedZones(t *testing.T) {
-	noViolation(t, cordonsFrom+*seed, *schedules)
+	requireNoViolation(t, cordonsFrom+*seed, *schedules)
 }
 
 // TestCutOffEntries guards against tasks that two entries run at once: entries are cut off from everything, and callers that break off meanwhile
 // send their jobs to others.
 func TestCutOffEntries(t *testing.T) {
-	noViolation(t, cutsFrom+*seed, longSchedules())
+	requireNoViolation(t, partitionsFrom+*seed, longSchedules())
 }
 
 // TestCutOffCallers guards against tasks that two entries run at once: entries are cut off from callers alone, and go on to hear agents.
 func TestCutOffCallers(t *testing.T) {
-	noViolation(t, callersFrom+*seed, *schedules)
+	requireNoViolation(t, callerPartitionsFrom+*seed, *schedules)
 }
 
 // TestTracedSchedules runs schedules that have found a fault; docs/FINDINGS.md has the causes.
 func TestTracedSchedules(t *testing.T) {
 	for _, s := range []uint64{7019612, 7024031, 2000013041, 2000119632, 2000126139, 6000305343} {
 		t.Run(fmt.Sprintf("seed_%d", s), func(t *testing.T) {
-			w, _, _ := search(s, 1, nil, someFaults)
+			w, _, _ := search(s, 1, nil, faultCount)
 			if w != nil {
 				t.Fatal(w.report(s))
 			}
@@ -265,7 +265,7 @@
 // and the agent's answer to the stop comes when the job has begun anew at the same entry.
 func TestStopCrossesRefusal(t *testing.T) {
 	const number = 9028018
-	w, _, _ := search(number, 1, nil, someFaults)
+	w, _, _ := search(number, 1, nil, faultCount)
 	if w != nil {
 		t.Fatal(w.report(number))
 	}
@@ -275,10 +275,10 @@
 // done, unless it was refused for want of room; and nothing is lost, stopped or started again.
 func TestQuietSchedules(t *testing.T) {
 	for s := range uint64(50) {
-		w := schedule(s+1, nil, 0)
-		qt.Assert(t, w.broken, qt.Equals, "", qt.Commentf("seed %d", s+1))
+		w := runSchedule(s+1, nil, 0)
+		qt.Assert(t, w.violation, qt.Equals, "", qt.Commentf("seed %d", s+1))
 		for _, job := range w.order {
-			if job.left || len(job.attempts) > 1 {
+			if job.abandoned || len(job.attempts) > 1 {
 				continue
 			}
 			qt.Assert(t, job.answers, qt.HasLen, 1)
@@ -289,7 +289,7 @@
 			case got.State == verdict.Refused:
 				qt.Assert(t, got.Reason == verdict.Overloaded || got.Reason == verdict.Deadline, qt.IsTrue)
 				qt.Assert(t, got.RetryAfter > 0, qt.IsTrue)
-			case job.poison:
+			case job.alwaysFails:
 				qt.Assert(t, got.State, qt.Equals, verdict.Failed)
 			default:
 				qt.Assert(t, got.State, qt.Equals, verdict.Complete, qt.Commentf("seed %d job %v", s+1, job.id))
@@ -301,7 +301,7 @@
 // TestSchedulesRepeat: the same seed gives the same schedule, or a failure could not be looked at again.
 func TestSchedulesRepeat(t *testing.T) {
 	for s := range uint64(20) {
-		a, b := schedule(s+1, nil, 6), schedule(s+1, nil, 6)
+		a, b := runSchedule(s+1, nil, 6), runSchedule(s+1, nil, 6)
 		qt.Assert(t, strings.Join(a.log, "\n"), qt.Equals, strings.Join(b.log, "\n"))
 	}
 }
--- a/internal/proof/schedule/script_test.go
+++ b/internal/proof/schedule/script_test.go
@@ -56,11 +56,11 @@
 }
 
 // scripted is a world in which a script is played.
-type scripted struct {
+type scriptWorld struct {
 	*world
 	sent map[string]*scriptedRequest
 	// missed is the first expectation that did not hold.
-	missed string
+	failedExpectation string
 }
 
 // scriptedRequest is a job at an entry as its caller has sent it.
@@ -72,20 +72,20 @@
 }
 
 // play plays a script with two entries and two agents, and returns its world.
-func (s *script) play(without rule.Set) *scripted {
-	w := newWorld(callersFrom, without)
+func (s *script) play(without rule.Set) *scriptWorld {
+	w := newWorld(callerPartitionsFrom, without)
 	w.fixed = true
 	w.build(2, 2)
-	x := &scripted{world: w, sent: make(map[string]*scriptedRequest)}
+	x := &scriptWorld{world: w, sent: make(map[string]*scriptedRequest)}
 	for _, e := range s.events {
 		w.After(e.at, func() { x.do(e) })
 	}
-	w.run(quiet)
+	w.run(settleTime)
 	return x
 }
 
 // do plays one line.
-func (x *scripted) do(v scriptEvent) {
+func (x *scriptWorld) do(v scriptEvent) {
 	var id, entry int
 	var span string
 	is := func(pattern string, to ...any) bool {
@@ -101,9 +101,9 @@
 	case is("request of job %d arrives at entry %d", &id, &entry):
 		x.arrive(id, entry)
 	case is("caller of job %d leaves entry %d", &id, &entry):
-		x.sent[sentTo(id, entry)].a.answered = true
+		x.sent[requestKey(id, entry)].a.answered = true
 	case is("end of job %d arrives at entry %d", &id, &entry):
-		r := x.sent[sentTo(id, entry)]
+		r := x.sent[requestKey(id, entry)]
 		r.e.do(func() { delete(r.e.waiting, r.caller); r.e.table.Abandon(r.e.now(), r.s.id, r.caller) })
 	case is("entry %d stands still for %s", &entry, &span):
 		d, _ := time.ParseDuration(span)
@@ -119,10 +119,10 @@
 	}
 }
 
-func sentTo(id, entry int) string { return fmt.Sprint(id, " ", entry) }
+func requestKey(id, entry int) string { return fmt.Sprint(id, " ", entry) }
 
 // send lets a caller send a job of one task, which takes 4 s and all the room of an upstream.
-func (x *scripted) send(id, entry int) {
+func (x *scriptWorld) send(id, entry int) {
 	w := x.world
 	s := w.jobs[job.ID(id)]
 	if s == nil {
@@ -134,17 +134,17 @@
 	a := &attempt{}
 	s.attempts = append(s.attempts, a)
 	caller := dispatch.CallerID(uint64(id)<<8 | uint64(len(s.attempts)))
-	x.sent[sentTo(id, entry)] = &scriptedRequest{s, w.entries[entry], a, caller}
+	x.sent[requestKey(id, entry)] = &scriptedRequest{s, w.entries[entry], a, caller}
 }
 
 // arrive lets a request reach its entry.
-func (x *scripted) arrive(id, entry int) {
-	r := x.sent[sentTo(id, entry)]
-	r.e.do(func() { r.e.hear(); r.e.table.RecordCallerContact(r.e.now()); r.e.take(r.s, r.a, r.caller) })
+func (x *scriptWorld) arrive(id, entry int) {
+	r := x.sent[requestKey(id, entry)]
+	r.e.do(func() { r.e.recordContact(); r.e.table.RecordCallerContact(r.e.now()); r.e.receive(r.s, r.a, r.caller) })
 }
 
 // runs tells whether a run of a job is at some upstream.
-func (x *scripted) runs(id job.ID) bool {
+func (x *scriptWorld) runs(id job.ID) bool {
 	for _, a := range x.agents {
 		for t := range a.upstream.runs {
 			if t.Job == id {
@@ -156,9 +156,9 @@
 }
 
 // expect notes an expectation that does not hold.
-func (x *scripted) expect(v scriptEvent, holds bool) {
-	if !holds && x.missed == "" {
-		x.missed = fmt.Sprintf("%v %s", v.at, v.text)
+func (x *scriptWorld) expect(v scriptEvent, holds bool) {
+	if !holds && x.failedExpectation == "" {
+		x.failedExpectation = fmt.Sprintf("%v %s", v.at, v.text)
 	}
 }
 
@@ -171,9 +171,9 @@
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) {
 			s := readScript(t, path)
 			x := s.play(nil)
-			qt.Assert(t, x.broken, qt.Equals, "", qt.Commentf("%s", x.report(0)))
-			qt.Assert(t, x.missed, qt.Equals, "", qt.Commentf("%s", x.report(0)))
-			qt.Assert(t, s.play(rule.Without(s.without)).broken, qt.Not(qt.Equals), "")
+			qt.Assert(t, x.violation, qt.Equals, "", qt.Commentf("%s", x.report(0)))
+			qt.Assert(t, x.failedExpectation, qt.Equals, "", qt.Commentf("%s", x.report(0)))
+			qt.Assert(t, s.play(rule.Without(s.without)).violation, qt.Not(qt.Equals), "")
 		})
 	}
 }
--- a/internal/proof/schedule/store_test.go
+++ b/internal/proof/schedule/store_test.go
@@ -25,7 +25,7 @@
 	// silent: no call is answered or done. busy: all calls are refused.
 	silent, busy bool
 	// loses is how often an answer is lost; late how many of those writes are done seconds later.
-	loses, late float64
+	lossRate, lateRate float64
 }
 
 func newSimStore(w *world) *simStore { return &simStore{Store: memory.New(), w: w} }
@@ -80,18 +80,18 @@
 			x.e.doIn(x.inc, func() {
 				switch {
 				case ok && !refused:
-					x.e.storeSilent = time.Time{}
-				case x.e.storeSilent.IsZero():
-					x.e.storeSilent = x.e.now()
+					x.e.storeSilentSince = time.Time{}
+				case x.e.storeSilentSince.IsZero():
+					x.e.storeSilentSince = x.e.now()
 				}
 				then(ok, refused)
 			})
 		}
 	}
 	w.After(storeTimeout, func() { reply(false, false) })
-	lost := w.chance(s.loses)
+	lost := w.chance(s.lossRate)
 	delay := w.between(time.Millisecond, 5*time.Millisecond)
-	if lost && w.chance(s.late) {
+	if lost && w.chance(s.lateRate) {
 		delay = w.between(500*time.Millisecond, 6*time.Second)
 	}
 	w.After(delay, func() {
@@ -110,7 +110,7 @@
 
 // Away tells whether the store has not answered for a while.
 func (x storeIO) Unavailable() bool {
-	return !x.e.storeSilent.IsZero() && x.e.now().Sub(x.e.storeSilent) > time.Second
+	return !x.e.storeSilentSince.IsZero() && x.e.now().Sub(x.e.storeSilentSince) > time.Second
 }
 
 // Write carries out a write, again and again until it is certain what came of it.
@@ -132,7 +132,7 @@
 		case answered && !refused && done:
 			x.e.keptJobs.HandleWriteResult(x.e.now(), jobstore.Result{ID: op.ID, Outcome: jobstore.Done, Version: version})
 		case answered && !refused:
-			x.look(op)
+			x.readConflict(op)
 		case !doubt && (op.NoRetry || !op.GiveUpAt.IsZero() && x.e.now().After(op.GiveUpAt)):
 			x.e.keptJobs.HandleWriteResult(x.e.now(), jobstore.Result{ID: op.ID, Outcome: jobstore.Refused})
 		case op.NoRetry:
@@ -144,7 +144,7 @@
 }
 
 // look reads what is there when a condition does not hold.
-func (x storeIO) look(op jobstore.Op) {
+func (x storeIO) readConflict(op jobstore.Op) {
 	w, s := x.e.w, x.e.w.store
 	var found []rows.Row
 	x.call(func() {
@@ -154,30 +154,30 @@
 		}
 	}, func(answered, refused bool) {
 		if !answered || refused {
-			w.After(storeRetry, func() { x.e.doIn(x.inc, func() { x.look(op) }) })
+			w.After(storeRetry, func() { x.e.doIn(x.inc, func() { x.readConflict(op) }) })
 			return
 		}
 		x.e.keptJobs.HandleWriteResult(x.e.now(), jobstore.Result{ID: op.ID, Outcome: jobstore.Conflict, Found: found})
 	})
 }
 
-var errAway = errors.New("store: away")
+var errUnavailable = errors.New("store: away")
 
 // ReadLeases reads all leases.
 func (x storeIO) ReadLeases() {
 	w, sent := x.e.w, x.e.now()
 	var page rows.Page
 	x.call(func() { page = w.store.list(record.Leases) }, func(answered, refused bool) {
-		x.e.keptJobs.HandleLeases(x.e.now(), sent, page, unless(answered && !refused))
+		x.e.keptJobs.HandleLeases(x.e.now(), sent, page, errorUnless(answered && !refused))
 	})
 }
 
 // unless is no error if ok.
-func unless(ok bool) error {
+func errorUnless(ok bool) error {
 	if ok {
 		return nil
 	}
-	return errAway
+	return errUnavailable
 }
 
 // Scan reads all open jobs, and then the leases.
@@ -186,11 +186,11 @@
 	var open, leases rows.Page
 	x.call(func() { open = w.store.list(record.OpenRows("").Table) }, func(answered, refused bool) {
 		if !answered || refused {
-			x.e.keptJobs.HandleScan(x.e.now(), nil, leases, errAway)
+			x.e.keptJobs.HandleScan(x.e.now(), nil, leases, errUnavailable)
 			return
 		}
 		x.call(func() { leases = w.store.list(record.Leases) }, func(answered, refused bool) {
-			x.e.keptJobs.HandleScan(x.e.now(), open.Rows, leases, unless(answered && !refused))
+			x.e.keptJobs.HandleScan(x.e.now(), open.Rows, leases, errorUnless(answered && !refused))
 		})
 	})
 }
@@ -205,7 +205,7 @@
 			found = append(found, w.store.Rows[layout.JobKey(id)])
 		}
 	}, func(answered, refused bool) {
-		x.e.keptJobs.HandleFetch(x.e.now(), ids, found, unless(answered && !refused))
+		x.e.keptJobs.HandleFetch(x.e.now(), ids, found, errorUnless(answered && !refused))
 	})
 }
 
@@ -213,7 +213,7 @@
 func (x storeIO) LookUp(id job.ID) {
 	var open, ended rows.Row
 	x.call(func() { open, ended = x.e.w.store.Rows[layout.OpenKey(id)], x.e.w.store.Rows[layout.EndedKey(id)] }, func(answered, refused bool) {
-		x.e.keptJobs.HandleLookUp(id, open, ended, unless(answered && !refused))
+		x.e.keptJobs.HandleLookUp(id, open, ended, errorUnless(answered && !refused))
 	})
 }
 
--- a/internal/proof/schedule/unasked_test.go
+++ b/internal/proof/schedule/unasked_test.go
@@ -13,19 +13,19 @@
 
 const (
 	// watchEvery is the pause between two looks at what runs.
-	watchEvery = 100 * time.Millisecond
+	watchInterval = 100 * time.Millisecond
 	// calm is from when on nothing goes wrong any more: faults begin while jobs come and last up to six seconds.
-	calm = busy + 8*time.Second
+	faultsEnd = activePeriod + 8*time.Second
 	// unaskedFor is how long a task of a cancelled job may run on: counted from the latest of the cancellation, its own start,
 	// which an upstream may be late with, and the end of the faults. The platform allows contact_ms for the late start.
-	unaskedFor = 3 * time.Second
+	cancelledRunBound = 3 * time.Second
 )
 
 // checkpointOf is what a task's runs save.
 func checkpointOf(t job.TaskID) string { return "saved by " + t.String() }
 
 // checkAsked checks that a start is of a task that a caller has sent, with its text, and from no other task's checkpoint.
-func (u *simUpstream) checkAsked(c call.Start) {
+func (u *simUpstream) checkRequested(c call.Start) {
 	s := u.w.jobs[c.Task.Job]
 	switch {
 	case s == nil || c.Task.Step != 0 || int(c.Task.Index) >= len(s.tasks):
@@ -44,47 +44,47 @@
 			continue
 		}
 		for _, r := range a.upstream.runs { // in no order, which matters to nothing but the words of a failure
-			w.checkWanted(r)
+			w.checkNotCancelled(r)
 		}
 	}
-	w.After(watchEvery, w.watchCancelled)
+	w.After(watchInterval, w.watchCancelled)
 }
 
 // checkWanted checks one run.
-func (w *world) checkWanted(r *simRun) {
+func (w *world) checkNotCancelled(r *simRun) {
 	cancelled := w.jobs[r.task.Job].cancelledAt
 	if cancelled.IsZero() {
 		return
 	}
 	since := w.Since()
-	for _, from := range []time.Time{cancelled, r.from} {
+	for _, from := range []time.Time{cancelled, r.startedAt} {
 		since = min(since, w.Now().Sub(from))
 	}
-	if since = min(since, w.Since()-calm); since > unaskedFor {
+	if since = min(since, w.Since()-faultsEnd); since > cancelledRunBound {
 		w.violate("%v runs on though its job was cancelled %v ago", r.task, w.Now().Sub(cancelled))
 	}
 }
 
 // removeSome lets a VM go for good, in every fifth schedule: an entry or an agent, while others of its kind stay. It draws by
 // itself, so that all other draws of a seed are what they were when its schedule was traced.
-func (w *world) removeSome(seed uint64) {
+func (w *world) planRemoval(seed uint64) {
 	if seed%5 != 4 {
 		return
 	}
 	rng := rand.New(rand.NewPCG(seed, 2))
-	at := time.Duration(rng.Int64N(int64(busy)))
+	at := time.Duration(rng.Int64N(int64(activePeriod)))
 	power, entry := rng.IntN(2) == 0, rng.IntN(2) == 0
 	w.After(at, func() {
 		if entry {
-			w.endEntry(w.entries[0], power, never)
+			w.endEntry(w.entries[0], power, forever)
 			return
 		}
-		w.endAgent(w.agents[0], power, never)
+		w.endAgent(w.agents[0], power, forever)
 	})
 }
 
 // never is later than the end of a schedule.
-const never = time.Hour
+const forever = time.Hour
 
 // submitLong sends a job of one task of ten seconds, so that the agent extends its upstream's lease.
 func (w *world) submitLong() {
@@ -111,16 +111,16 @@
 			w.jobs[s.id], w.order = s, append(w.order, s)
 			u := w.agents[0].upstream
 			stray := job.TaskID{Job: s.id}
-			u.lease(u.clock() + call.Clock(timing.Lease))
-			u.begins(stray, 1)
+			u.extendLease(u.clock() + call.Clock(timing.Lease))
+			u.beginRun(stray, 1)
 			qt.Assert(t, u.runs, qt.HasLen, 2)
 			if test.removed {
-				w.endAgent(w.agents[0], true, never)
+				w.endAgent(w.agents[0], true, forever)
 			}
 			w.run(2200 * time.Millisecond)
 			qt.Assert(t, u.runs[stray], qt.IsNil)
 			qt.Assert(t, len(u.runs) == 1, qt.Equals, !test.removed)
-			qt.Assert(t, w.broken, qt.Equals, "")
+			qt.Assert(t, w.violation, qt.Equals, "")
 		})
 	}
 }
--- a/internal/proof/schedule/upstream_test.go
+++ b/internal/proof/schedule/upstream_test.go
@@ -21,13 +21,13 @@
 
 // simRun is a run at a simulated upstream.
 type simRun struct {
-	task job.TaskID
-	run  job.Run
-	from time.Time
-	work time.Duration
-	how  call.Result
+	task      job.TaskID
+	run       job.Run
+	startedAt time.Time
+	work      time.Duration
+	result    call.Result
 	// hang: it never gets on.
-	hang     bool
+	hangs    bool
 	stopping bool
 }
 
@@ -41,126 +41,126 @@
 	id   ident.UpstreamID
 	life int
 	// born is when the life began; told, in milliseconds, is how it says so. skew is its clock's reading then.
-	born time.Time
-	told ident.Born
-	skew call.Clock
+	born          time.Time
+	reportedBirth ident.Born
+	clockOffset   call.Clock
 	// leaving: it has said, or will say, that it leaves; heardAt is when its agent has taken that in.
-	leaving bool
-	heardAt time.Time
+	draining     bool
+	drainHeardAt time.Time
 	// carriesLate is true while it carries out an order late.
-	carriesLate bool
+	executesLate bool
 	// rate is how fast its clock runs: up to 2% slow.
-	rate  float64
-	until call.Clock
+	rate       float64
+	leaseUntil call.Clock
 	// lapsed is when a lease has ended last before another began.
-	lapsed time.Time
-	token  call.Token
-	runs   map[job.TaskID]*simRun
-	past   map[job.TaskID]job.Run
-	ends   []simEnd
-	n      uint64
-	beats  uint64
+	lastLapse      time.Time
+	token          call.Token
+	runs           map[job.TaskID]*simRun
+	lastRuns       map[job.TaskID]job.Run
+	ends           []simEnd
+	endCount       uint64
+	heartbeatCount uint64
 	// waiters answer holds that wait for an end.
 	waiters []func()
 	// loses is how often an order gets no answer; late how many of those are carried out seconds later.
-	loses, late float64
+	lossRate, lateRate float64
 	// vanish: the others of those are not carried out at all.
-	vanish bool
+	dropsLost bool
 	// lag is up to how long calls and answers are on their way; zero is as usual.
-	lag time.Duration
+	maxLag time.Duration
 	// slow stretches the work of what starts; zero does not.
-	slow float64
+	slowdown float64
 	// fails and hangs are how often runs do so.
-	fails, hangs float64
+	failRate, hangRate float64
 	// room is what the upstream says it has, rooms what it has had and until when.
-	room  job.Resources
-	rooms []formerRoom
+	room        job.Resources
+	formerRooms []formerRoom
 	// cut: nothing gets through to it or from it, while it runs on.
 	cut bool
 }
 
-func (u *simUpstream) begin() {
+func (u *simUpstream) startLife() {
 	if u.room == (job.Resources{}) {
 		u.room = capacity
 	}
 	u.life++
 	u.up, u.born, u.rate = true, u.w.Now(), 1/(1+0.02*u.w.rng.Float64())
 	u.id = ident.UpstreamID(fmt.Sprintf("%s-%d", u.name, u.life))
-	if u.w.odds.restarts {
+	if u.w.profile.restarts {
 		u.id = ident.UpstreamID(u.name)
-		u.told = max(u.told+1, ident.Born(u.w.Now().UnixMilli()))
-		u.skew = call.Clock(u.w.between(0, time.Hour))
+		u.reportedBirth = max(u.reportedBirth+1, ident.Born(u.w.Now().UnixMilli()))
+		u.clockOffset = call.Clock(u.w.between(0, time.Hour))
 	}
-	u.leaving, u.heardAt = false, time.Time{}
-	u.until, u.token, u.n, u.beats, u.lapsed = 0, 0, 0, 0, u.w.Now()
-	u.runs, u.past, u.ends, u.waiters = make(map[job.TaskID]*simRun), make(map[job.TaskID]job.Run), nil, nil
-	u.beat(u.life)
+	u.draining, u.drainHeardAt = false, time.Time{}
+	u.leaseUntil, u.token, u.endCount, u.heartbeatCount, u.lastLapse = 0, 0, 0, 0, u.w.Now()
+	u.runs, u.lastRuns, u.ends, u.waiters = make(map[job.TaskID]*simRun), make(map[job.TaskID]job.Run), nil, nil
+	u.scheduleHeartbeats(u.life)
 }
 
 func (u *simUpstream) clock() call.Clock {
-	return u.skew + call.Clock(float64(u.w.Now().Sub(u.born))*u.rate)
+	return u.clockOffset + call.Clock(float64(u.w.Now().Sub(u.born))*u.rate)
 }
 
 // beatEvery is the pause between two heartbeats.
-const beatEvery = 500 * time.Millisecond
+const heartbeatInterval = 500 * time.Millisecond
 
 // beat sends heartbeats for one life.
-func (u *simUpstream) beat(life int) {
+func (u *simUpstream) scheduleHeartbeats(life int) {
 	if u.life != life || !u.up {
 		return
 	}
-	u.sendBeat()
-	u.w.After(beatEvery, func() { u.beat(life) })
+	u.sendHeartbeat()
+	u.w.After(heartbeatInterval, func() { u.scheduleHeartbeats(life) })
 }
 
 // sendBeat sends one heartbeat.
-func (u *simUpstream) sendBeat() {
-	u.beats++
+func (u *simUpstream) sendHeartbeat() {
+	u.heartbeatCount++
 	b := lives.Heartbeat{
-		Upstream: fleet.Upstream{ID: u.id, Service: service, Total: u.room}, Sequence: u.beats, Clock: u.clock(), Born: u.told, Draining: u.leaving,
+		Upstream: fleet.Upstream{ID: u.id, Service: service, Total: u.room}, Sequence: u.heartbeatCount, Clock: u.clock(), Born: u.reportedBirth, Draining: u.draining,
 	}
 	life := u.life
 	arrive := func() {
 		u.agent.do(func() {
-			u.agent.manager.Heartbeat(u.agent.now(), b)
-			if u.w.odds.restarts {
+			u.agent.controller.Heartbeat(u.agent.now(), b)
+			if u.w.profile.restarts {
 				u.agent.flush()
 			}
-			if b.Draining && u.life == life && u.heardAt.IsZero() {
-				u.heardAt = u.w.Now()
+			if b.Draining && u.life == life && u.drainHeardAt.IsZero() {
+				u.drainHeardAt = u.w.Now()
 			}
 		})
 	}
 	switch {
 	case !u.cut:
 		u.w.After(u.w.between(0, time.Millisecond), arrive)
-	case u.w.holdBeats:
-		u.w.After(u.w.between(heldLeast, heldMost), arrive)
+	case u.w.delayHeartbeats:
+		u.w.After(u.w.between(minHeartbeatDelay, maxHeartbeatDelay), arrive)
 	}
 }
 
 // A heartbeat that a cut holds up comes this much later: often after another life has begun, and after the agent has.
-const heldLeast, heldMost = 500 * time.Millisecond, 6 * time.Second
+const minHeartbeatDelay, maxHeartbeatDelay = 500 * time.Millisecond, 6 * time.Second
 
 // leaveBound is how long after its agent has heard that an upstream leaves a start may still arrive there: those under way, but not
 // one that the upstream carries out late.
-const leaveBound = 200 * time.Millisecond
+const drainStartBound = 200 * time.Millisecond
 
 // leave says that the upstream leaves, ends some time later, and starts again. Its word that it has ended may be held up until after
 // that.
-func (u *simUpstream) leave(serves, down time.Duration) {
-	if !u.up || u.leaving {
+func (u *simUpstream) drain(serves, down time.Duration) {
+	if !u.up || u.draining {
 		return
 	}
-	u.w.note("%s leaves", u.id)
-	u.leaving = true
-	u.sendBeat()
+	u.w.logf("%s leaves", u.id)
+	u.draining = true
+	u.sendHeartbeat()
 	life, id := u.life, u.id
 	u.w.After(serves, func() {
 		if u.life != life || !u.up {
 			return
 		}
-		u.w.After(u.w.between(0, 2*down), func() { u.agent.do(func() { u.agent.manager.UpstreamLeft(u.agent.now(), id) }) })
+		u.w.After(u.w.between(0, 2*down), func() { u.agent.do(func() { u.agent.controller.UpstreamLeft(u.agent.now(), id) }) })
 		u.crash(down)
 	})
 }
@@ -169,40 +169,40 @@
 func (u *simUpstream) crash(down time.Duration) {
 	u.up = false
 	u.runs = make(map[job.TaskID]*simRun)
-	u.w.After(down, u.begin)
+	u.w.After(down, u.startLife)
 }
 
 // lapse kills everything once the lease has run out.
-func (u *simUpstream) lapse() {
-	if !u.up || len(u.runs) == 0 || u.clock() <= u.until {
+func (u *simUpstream) endLapsedRuns() {
+	if !u.up || len(u.runs) == 0 || u.clock() <= u.leaseUntil {
 		return
 	}
-	for _, r := range u.list() {
-		u.finish(r, call.ResultLapsed)
+	for _, r := range u.sortedRuns() {
+		u.endRun(r, call.ResultLapsed)
 	}
 }
 
 // lease extends the lease; it is never shortened and at most a second long.
-func (u *simUpstream) lease(until call.Clock) {
+func (u *simUpstream) extendLease(until call.Clock) {
 	until = min(until, u.clock()+call.Clock(time.Second))
-	if until <= u.until {
+	if until <= u.leaseUntil {
 		return
 	}
-	if u.clock() > u.until {
-		u.lapsed = u.lapseTime()
+	if u.clock() > u.leaseUntil {
+		u.lastLapse = u.lapseTime()
 	}
-	u.until = until
+	u.leaseUntil = until
 	wait := time.Duration(float64(until-u.clock())/u.rate) + time.Millisecond
 	life := u.life
 	u.w.After(wait, func() {
 		if u.life == life {
-			u.lapse()
+			u.endLapsedRuns()
 		}
 	})
 }
 
 // list returns the runs in a fixed order.
-func (u *simUpstream) list() []*simRun {
+func (u *simUpstream) sortedRuns() []*simRun {
 	var out []*simRun
 	for _, s := range u.w.order {
 		for i := range s.tasks {
@@ -215,23 +215,23 @@
 }
 
 // finish ends a run. What has not ended when the lease is over has lapsed, also in the millisecond before lapse is called.
-func (u *simUpstream) finish(r *simRun, how call.Result) {
+func (u *simUpstream) endRun(r *simRun, how call.Result) {
 	if u.runs[r.task] != r {
 		return
 	}
-	if u.clock() > u.until {
+	if u.clock() > u.leaseUntil {
 		how = call.ResultLapsed
 	}
 	delete(u.runs, r.task)
-	u.past[r.task] = max(u.past[r.task], r.run)
-	u.n++
-	u.ends = append(u.ends, simEnd{call.Finished{Number: u.n, Task: r.task, Run: r.run, Result: how, Checkpoint: checkpointOf(r.task)}, u.w.Now()})
-	u.w.note("%s run %d of %v ended %s", u.id, r.run, r.task, how)
+	u.lastRuns[r.task] = max(u.lastRuns[r.task], r.run)
+	u.endCount++
+	u.ends = append(u.ends, simEnd{call.Finished{Number: u.endCount, Task: r.task, Run: r.run, Result: how, Checkpoint: checkpointOf(r.task)}, u.w.Now()})
+	u.w.logf("%s run %d of %v ended %s", u.id, r.run, r.task, how)
 	if how == call.ResultFailed {
 		u.w.jobs[r.task.Job].tasks[r.task.Index].failed++
 	}
 	if how == call.ResultDone {
-		u.w.jobs[r.task.Job].done(r.task)
+		u.w.jobs[r.task.Job].markDone(r.task)
 	}
 	waiters := u.waiters
 	u.waiters = nil
@@ -241,9 +241,9 @@
 }
 
 // begins starts a run and checks what must hold at that moment.
-func (u *simUpstream) begins(task job.TaskID, run job.Run) {
-	if !u.heardAt.IsZero() && !u.carriesLate && u.w.Now().Sub(u.heardAt) > leaveBound {
-		u.w.violate("%s starts run %d of %v %v after its agent has heard that it leaves", u.id, run, task, u.w.Now().Sub(u.heardAt))
+func (u *simUpstream) beginRun(task job.TaskID, run job.Run) {
+	if !u.drainHeardAt.IsZero() && !u.executesLate && u.w.Now().Sub(u.drainHeardAt) > drainStartBound {
+		u.w.violate("%s starts run %d of %v %v after its agent has heard that it leaves", u.id, run, task, u.w.Now().Sub(u.drainHeardAt))
 	}
 	u.checkCordon(task, run)
 	s := u.w.jobs[task.Job]
@@ -251,7 +251,7 @@
 	for range u.runs {
 		used = used.Add(need)
 	}
-	if !used.Fits(u.allowed()) {
+	if !used.Fits(u.allowedRoom()) {
 		u.w.violate("%s is over its capacity by run %d of %v", u.id, run, task)
 	}
 	for _, other := range u.w.agents {
@@ -260,28 +260,28 @@
 			u.w.violate("%v runs twice: run %d at %s and run %d at %s", task, r.run, o.id, run, u.id)
 		}
 	}
-	if s.onlyRefused() {
+	if s.allRefused() {
 		u.w.violate("%v starts though its caller was told that it has not run and never will", task)
 	}
-	s.starts(task)
-	r := &simRun{task: task, run: run, from: u.w.Now(), work: s.tasks[task.Index].work, how: call.ResultDone}
-	if u.w.chance(u.fails) || s.poison {
-		r.how, r.work = call.ResultFailed, r.work/4
+	s.checkStart(task)
+	r := &simRun{task: task, run: run, startedAt: u.w.Now(), work: s.tasks[task.Index].work, result: call.ResultDone}
+	if u.w.chance(u.failRate) || s.alwaysFails {
+		r.result, r.work = call.ResultFailed, r.work/4
 	}
-	if u.slow > 0 {
-		r.work = time.Duration(float64(r.work) * u.slow)
+	if u.slowdown > 0 {
+		r.work = time.Duration(float64(r.work) * u.slowdown)
 	}
-	r.hang = u.w.chance(u.hangs)
+	r.hangs = u.w.chance(u.hangRate)
 	u.runs[task] = r
-	u.w.note("%s starts run %d of %v", u.id, run, task)
-	u.crashes(r)
-	if !r.hang {
-		u.w.After(r.work, func() { u.finish(r, r.how) })
+	u.w.logf("%s starts run %d of %v", u.id, run, task)
+	u.armCrash(r)
+	if !r.hangs {
+		u.w.After(r.work, func() { u.endRun(r, r.result) })
 	}
 }
 
 // admits checks a call's instance and token, and takes in the token.
-func (u *simUpstream) admits(h call.Header) call.Answer {
+func (u *simUpstream) admit(h call.Header) call.Answer {
 	switch {
 	case h.Instance != u.id:
 		return call.WrongInstance
@@ -294,46 +294,46 @@
 
 // start handles a start that has arrived.
 func (u *simUpstream) start(c call.Start) call.Answer {
-	if a := u.admits(c.Header); a != call.OK {
+	if a := u.admit(c.Header); a != call.OK {
 		return a
 	}
 	if c.LeaseUntil <= u.clock() {
 		return call.Declined
 	}
-	u.lease(c.LeaseUntil)
+	u.extendLease(c.LeaseUntil)
 	if r := u.runs[c.Task]; r != nil && r.run == c.Run {
 		return call.OK
 	}
-	if c.Run <= u.past[c.Task] {
+	if c.Run <= u.lastRuns[c.Task] {
 		return call.Used
 	}
-	u.checkAsked(c)
-	u.begins(c.Task, c.Run)
+	u.checkRequested(c)
+	u.beginRun(c.Task, c.Run)
 	return call.OK
 }
 
 func (u *simUpstream) stop(c call.Stop) call.Answer {
-	if a := u.admits(c.Header); a != call.OK {
+	if a := u.admit(c.Header); a != call.OK {
 		return a
 	}
-	u.past[c.Task] = max(u.past[c.Task], c.Run)
+	u.lastRuns[c.Task] = max(u.lastRuns[c.Task], c.Run)
 	if r := u.runs[c.Task]; r != nil && r.run <= c.Run && !r.stopping {
 		r.stopping = true
-		u.w.After(u.w.between(0, 50*time.Millisecond), func() { u.finish(r, call.ResultStopped) })
+		u.w.After(u.w.between(0, 50*time.Millisecond), func() { u.endRun(r, call.ResultStopped) })
 	}
 	return call.OK
 }
 
 // held answers a hold.
-func (u *simUpstream) held() call.HoldResult {
-	h := call.HoldResult{Answer: call.OK, Clock: u.clock(), Born: u.told}
+func (u *simUpstream) holdResult() call.HoldResult {
+	h := call.HoldResult{Answer: call.OK, Clock: u.clock(), Born: u.reportedBirth}
 	for _, e := range u.ends {
 		h.Finished = append(h.Finished, e.Finished)
 	}
-	for _, r := range u.list() {
+	for _, r := range u.sortedRuns() {
 		percent := 0
-		if !r.hang {
-			percent = min(int(100*u.w.Now().Sub(r.from)/r.work), 99)
+		if !r.hangs {
+			percent = min(int(100*u.w.Now().Sub(r.startedAt)/r.work), 99)
 		}
 		h.Running = append(h.Running, call.Running{Task: r.task, Run: r.run, Checkpoint: checkpointOf(r.task), Percent: percent})
 	}
@@ -341,24 +341,24 @@
 }
 
 func (u *simUpstream) hold(c call.Hold, answer func(call.HoldResult)) {
-	if a := u.admits(c.Header); a != call.OK {
+	if a := u.admit(c.Header); a != call.OK {
 		answer(call.HoldResult{Answer: a})
 		return
 	}
 	for len(u.ends) > 0 && u.ends[0].Number <= c.Seen {
-		u.forgets(u.ends[0])
+		u.recordForgotten(u.ends[0])
 		u.ends = u.ends[1:]
 	}
-	u.lease(c.LeaseUntil)
+	u.extendLease(c.LeaseUntil)
 	if len(u.ends) > 0 || c.Wait == 0 {
-		answer(u.held())
+		answer(u.holdResult())
 		return
 	}
 	answered := false
 	reply := func() {
 		if !answered {
 			answered = true
-			answer(u.held())
+			answer(u.holdResult())
 		}
 	}
 	u.waiters = append(u.waiters, reply)
@@ -371,7 +371,7 @@
 }
 
 // order carries an order to the upstream and its answer back; without an answer in time it is Unanswered.
-func (u *simUpstream) order(do func() call.Answer, answer func(call.Answer, call.Clock)) {
+func (u *simUpstream) carryOrder(do func() call.Answer, answer func(call.Answer, call.Clock)) {
 	answered := false
 	reply := func(a call.Answer, c call.Clock) {
 		if !answered {
@@ -380,26 +380,26 @@
 		}
 	}
 	u.w.After(callTimeout, func() { reply(call.Unanswered, 0) })
-	lost := u.w.chance(u.loses)
-	vanish := lost && u.vanish
+	lost := u.w.chance(u.lossRate)
+	vanish := lost && u.dropsLost
 	delay := u.w.between(100*time.Microsecond, 2*time.Millisecond)
-	if lost && u.w.chance(u.late) {
+	if lost && u.w.chance(u.lateRate) {
 		delay, vanish = u.w.between(2*time.Second, 12*time.Second), false
 	}
-	delay = u.w.calls.way(u, delay)
+	delay = u.w.lateCalls.drawTransit(u, delay)
 	// An order that is carried out seconds late waits at the upstream, and is gone with its life; one on its way is not.
-	waits, life := delay >= 2*time.Second && u.w.odds.restarts, u.life
+	waits, life := delay >= 2*time.Second && u.w.profile.restarts, u.life
 	u.w.After(delay, func() {
 		if !u.up || u.cut || vanish || waits && u.life != life {
 			return
 		}
-		u.carriesLate = delay >= callTimeout // nobody waits for its answer any more
+		u.executesLate = delay >= callTimeout // nobody waits for its answer any more
 		a, c := do(), u.clock()
-		u.carriesLate = false
+		u.executesLate = false
 		if !lost {
-			back := u.w.calls.way(u, u.w.between(100*time.Microsecond, 2*time.Millisecond))
+			back := u.w.lateCalls.drawTransit(u, u.w.between(100*time.Microsecond, 2*time.Millisecond))
 			u.w.After(back, func() {
-				if !u.w.calls.misses(u.agent) {
+				if !u.w.lateCalls.missesAnswer(u.agent) {
 					reply(a, c)
 				}
 			})
--- a/internal/proof/schedule/words_test.go
+++ b/internal/proof/schedule/words_test.go
@@ -28,41 +28,41 @@
 func (x entryIO) Order(agent ident.Incarnation, o fleet.Order) {
 	if s, a := x.linkTo(agent); s != nil {
 		inc := x.e.inc
-		s.send(func() { a.manager.Order(a.now(), inc, o); a.flush() })
+		s.send(func() { a.controller.Order(a.now(), inc, o); a.flush() })
 	}
 }
 
 func (x entryIO) Stop(agent ident.Incarnation, r fleet.OrderedRun, why fleet.Reason) {
 	if s, a := x.linkTo(agent); s != nil {
 		inc := x.e.inc
-		s.send(func() { a.manager.StopTask(a.now(), inc, r, why); a.flush() })
+		s.send(func() { a.controller.StopTask(a.now(), inc, r, why); a.flush() })
 	}
 }
 
 func (x entryIO) AnnounceHeld(agent ident.Incarnation, jobs []job.ID) {
 	if s, a := x.linkTo(agent); s != nil {
 		inc := x.e.inc
-		s.send(func() { a.manager.Holding(a.now(), inc, jobs) })
+		s.send(func() { a.controller.Holding(a.now(), inc, jobs) })
 	}
 }
 
 func (x entryIO) RequestRelease(agent ident.Incarnation, id job.ID, holder ident.Incarnation) {
 	if s, a := x.linkTo(agent); s != nil {
 		t := fleet.Takeover{Job: id, Holder: holder, NewHolder: x.e.inc}
-		s.send(func() { a.manager.Release(a.now(), t); a.flush() })
+		s.send(func() { a.controller.Release(a.now(), t); a.flush() })
 	}
 }
 
 func (x entryIO) SendReleased(agent ident.Incarnation, r fleet.Released) {
 	if s, a := x.linkTo(agent); s != nil {
-		s.send(func() { a.manager.Released(r) })
+		s.send(func() { a.controller.Released(r) })
 	}
 }
 
 func (x entryIO) SendCrashes(all []fleet.Crash) {
 	for _, a := range x.e.w.agents {
 		if side := x.e.links[&a.proc]; side != nil {
-			side.send(func() { a.tellCrashes(x.e, all, nil) })
+			side.send(func() { a.shareCrashes(x.e, all, nil) })
 		}
 	}
 }
@@ -79,14 +79,14 @@
 
 func (x entryIO) Acknowledge(agent ident.Incarnation, runs []fleet.RunRef, void bool) {
 	if s, a := x.linkTo(agent); s != nil {
-		s.send(func() { a.manager.ResolveEnds(runs, void); a.flush() })
+		s.send(func() { a.controller.ResolveEnds(runs, void); a.flush() })
 	}
 }
 
 func (x entryIO) Ask(agent ident.Incarnation, number uint64, jobs []job.ID) {
 	if s, a := x.linkTo(agent); s != nil {
 		inc := x.e.inc
-		s.send(func() { a.manager.QueryEnds(a.now(), inc, number, jobs); a.flush() })
+		s.send(func() { a.controller.QueryEnds(a.now(), inc, number, jobs); a.flush() })
 	}
 }
 
@@ -106,29 +106,29 @@
 	inc ident.Incarnation
 }
 
-func (x agentIO) back(f func()) {
+func (x agentIO) handle(f func()) {
 	x.a.doIn(x.inc, func() { f(); x.a.flush() })
 }
 
 func (x agentIO) Start(c call.Start) {
 	u := x.a.upstream
-	x.a.w.sliced.leave(&x.a.proc, func() {
-		u.order(func() call.Answer { return u.start(c) }, func(a call.Answer, clock call.Clock) {
-			x.back(func() { x.a.manager.StartDone(x.a.now(), c, a, clock) })
+	x.a.w.cpuStarvation.delayCall(&x.a.proc, func() {
+		u.carryOrder(func() call.Answer { return u.start(c) }, func(a call.Answer, clock call.Clock) {
+			x.handle(func() { x.a.controller.StartDone(x.a.now(), c, a, clock) })
 		})
 	})
 }
 
 func (x agentIO) Stop(c call.Stop) {
 	u := x.a.upstream
-	x.a.w.sliced.leave(&x.a.proc, func() {
-		u.order(func() call.Answer { return u.stop(c) }, func(a call.Answer, clock call.Clock) {
-			x.back(func() { x.a.manager.StopDone(x.a.now(), c, a, clock) })
+	x.a.w.cpuStarvation.delayCall(&x.a.proc, func() {
+		u.carryOrder(func() call.Answer { return u.stop(c) }, func(a call.Answer, clock call.Clock) {
+			x.handle(func() { x.a.controller.StopDone(x.a.now(), c, a, clock) })
 		})
 	})
 }
 
-func (x agentIO) Hold(c call.Hold) { x.a.w.sliced.leave(&x.a.proc, func() { x.hold(c) }) }
+func (x agentIO) Hold(c call.Hold) { x.a.w.cpuStarvation.delayCall(&x.a.proc, func() { x.hold(c) }) }
 
 func (x agentIO) hold(c call.Hold) {
 	u, w := x.a.upstream, x.a.w
@@ -136,12 +136,12 @@
 	reply := func(h call.HoldResult) {
 		if !answered {
 			answered = true
-			x.back(func() { x.a.manager.HoldDone(x.a.now(), c, h) })
+			x.handle(func() { x.a.controller.HoldDone(x.a.now(), c, h) })
 		}
 	}
 	w.After(c.Wait+callTimeout, func() { reply(call.HoldResult{Answer: call.Unanswered}) })
-	lost := w.chance(u.loses / 4)
-	w.After(w.calls.way(u, w.between(100*time.Microsecond, 2*time.Millisecond)), func() {
+	lost := w.chance(u.lossRate / 4)
+	w.After(w.lateCalls.drawTransit(u, w.between(100*time.Microsecond, 2*time.Millisecond)), func() {
 		if !u.up || u.cut {
 			return
 		}
@@ -149,9 +149,9 @@
 			if lost || u.cut {
 				return
 			}
-			back := w.calls.way(u, w.between(100*time.Microsecond, 2*time.Millisecond))
+			back := w.lateCalls.drawTransit(u, w.between(100*time.Microsecond, 2*time.Millisecond))
 			w.After(back, func() {
-				if !w.calls.misses(x.a) {
+				if !w.lateCalls.missesAnswer(x.a) {
 					reply(h)
 				}
 			})
@@ -159,7 +159,7 @@
 	})
 }
 
-func (x agentIO) to(entry ident.Incarnation) (*linkSide, *entryProc) {
+func (x agentIO) linkTo(entry ident.Incarnation) (*linkSide, *entryProc) {
 	for _, e := range x.a.w.entries {
 		if s := x.a.links[&e.proc]; s != nil && s.other.inc == entry {
 			return s, e
@@ -168,20 +168,20 @@
 	return nil, nil
 }
 
-func (x agentIO) tell(entry ident.Incarnation, f func(e *entryProc, s *linkSide)) {
-	if s, e := x.to(entry); s != nil {
+func (x agentIO) send(entry ident.Incarnation, f func(e *entryProc, s *linkSide)) {
+	if s, e := x.linkTo(entry); s != nil {
 		s.send(func() { f(e, s.other) })
 	}
 }
 
 func (x agentIO) Upstream(to ident.Incarnation, u fleet.Upstream) {
-	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.HandleUpstream(e.now(), x.inc, u) })
+	x.send(to, func(e *entryProc, _ *linkSide) { e.table.HandleUpstream(e.now(), x.inc, u) })
 }
 
 func (x agentIO) Room(to ident.Incarnation, r fleet.Room) {
-	x.tell(to, func(e *entryProc, s *linkSide) {
-		first := s.clock == 0
-		s.clock = r.Clock
+	x.send(to, func(e *entryProc, s *linkSide) {
+		first := s.agentClock == 0
+		s.agentClock = r.Clock
 		if first {
 			e.sendPing(s, x.a)
 		}
@@ -190,7 +190,7 @@
 }
 
 func (x agentIO) End(to ident.Incarnation, e fleet.End) {
-	x.tell(to, func(p *entryProc, _ *linkSide) {
+	x.send(to, func(p *entryProc, _ *linkSide) {
 		if !p.table.HandleEnd(p.now(), x.inc, e) && e.Kept {
 			p.keptJobs.HandleStrayEnd(p.now(), x.inc, e)
 		}
@@ -198,99 +198,100 @@
 }
 
 func (x agentIO) Progress(to ident.Incarnation, runs []fleet.Progress) {
-	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.HandleProgress(e.now(), x.inc, runs) })
+	x.send(to, func(e *entryProc, _ *linkSide) { e.table.HandleProgress(e.now(), x.inc, runs) })
 }
 
 func (x agentIO) Resumed(to ident.Incarnation, runs []fleet.OrderedRun) {
-	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.HandleResumed(x.inc, runs) })
+	x.send(to, func(e *entryProc, _ *linkSide) { e.table.HandleResumed(x.inc, runs) })
 }
 
 func (x agentIO) EndsSent(to ident.Incarnation, number uint64) {
-	x.tell(to, func(p *entryProc, _ *linkSide) { p.keptJobs.HandleEndsReported(p.now(), x.inc, number) })
+	x.send(to, func(p *entryProc, _ *linkSide) { p.keptJobs.HandleEndsReported(p.now(), x.inc, number) })
 }
 
 func (x agentIO) Holding(to, holder ident.Incarnation, jobs []job.ID) {
-	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.HandleHeld(e.now(), holder, jobs) })
+	x.send(to, func(e *entryProc, _ *linkSide) { e.table.HandleHeld(e.now(), holder, jobs) })
 }
 
 func (x agentIO) Release(t fleet.Takeover) {
-	x.tell(t.Holder, func(e *entryProc, _ *linkSide) { e.table.HandleTakeover(e.now(), x.inc, t) })
+	x.send(t.Holder, func(e *entryProc, _ *linkSide) { e.table.HandleTakeover(e.now(), x.inc, t) })
 }
 
 func (x agentIO) Released(r fleet.Released) {
-	x.tell(r.NewHolder, func(e *entryProc, _ *linkSide) { e.table.HandleReleased(e.now(), x.inc, r) })
+	x.send(r.NewHolder, func(e *entryProc, _ *linkSide) { e.table.HandleReleased(e.now(), x.inc, r) })
 }
 
 func (x agentIO) Settled(to ident.Incarnation) {
-	x.tell(to, func(e *entryProc, _ *linkSide) { e.table.HandleSettled(e.now(), x.inc) })
+	x.send(to, func(e *entryProc, _ *linkSide) { e.table.HandleSettled(e.now(), x.inc) })
 }
 
 func (x agentIO) UpstreamLost(l upstream.Loss) {
-	x.a.tellCrashes(nil, l.Crashes(ident.UpstreamName(x.a.name)), nil)
+	x.a.shareCrashes(nil, l.Crashes(ident.UpstreamName(x.a.name)), nil)
 }
 
 func (x agentIO) LossRefuted(r fleet.Refutation) {
-	x.a.tellCrashes(nil, nil, []fleet.Refutation{r})
+	x.a.shareCrashes(nil, nil, []fleet.Refutation{r})
 }
 
 // nobody observes nothing.
-type nobody struct{}
-
-func (nobody) Placed(job.ID, ident.UpstreamName, *fleet.Order, time.Duration)                   {}
-func (nobody) Ended(ident.UpstreamName, fleet.End, string)                                      {}
-func (nobody) Answered(job.ID, *route.Route, dispatch.Answer, dispatch.Summary)                 {}
-func (nobody) AgentChanged(ident.UpstreamName, int, dispatch.AgentEvent)                        {}
-func (nobody) Taken(*dispatch.Request)                                                          {}
-func (nobody) StopsRequested(dispatch.Stops)                                                    {}
-func (nobody) Resubmitted(*dispatch.Request, dispatch.HeldJob)                                  {}
-func (nobody) OutOfTouch(time.Duration, int)                                                    {}
-func (nobody) Belated(*dispatch.Request)                                                        {}
-func (nobody) TakeoverChanged(job.ID, ident.Incarnation, time.Duration, dispatch.TakeoverEvent) {}
+type nopObserver struct{}
+
+func (nopObserver) Placed(job.ID, ident.UpstreamName, *fleet.Order, time.Duration)   {}
+func (nopObserver) Ended(ident.UpstreamName, fleet.End, string)                      {}
+func (nopObserver) Answered(job.ID, *route.Route, dispatch.Answer, dispatch.Summary) {}
+func (nopObserver) AgentChanged(ident.UpstreamName, int, dispatch.AgentEvent)        {}
+func (nopObserver) Taken(*dispatch.Request)                                          {}
+func (nopObserver) StopsRequested(dispatch.Stops)                                    {}
+func (nopObserver) Resubmitted(*dispatch.Request, dispatch.HeldJob)                  {}
+func (nopObserver) OutOfTouch(time.Duration, int)                                    {}
+func (nopObserver) Belated(*dispatch.Request)                                        {}
+func (nopObserver) TakeoverChanged(job.ID, ident.Incarnation, time.Duration, dispatch.TakeoverEvent) {
+}
 
 // agentNotes notes what an agent decides.
-type agentNotes struct{ a *agentProc }
+type agentObserver struct{ a *agentProc }
 
-func (n agentNotes) RunEnded(e upstream.Ending) {
+func (n agentObserver) RunEnded(e upstream.Ending) {
 	if e.Outcome != job.Done {
-		n.a.w.note("%s: run %d of %v is %s %s", n.a.name, e.Run, e.Task, e.Outcome, e.Reason)
+		n.a.w.logf("%s: run %d of %v is %s %s", n.a.name, e.Run, e.Task, e.Outcome, e.Reason)
 	}
 }
 
-func (n agentNotes) StateChanged(from, to fleet.State, why string) {
-	n.a.w.note("%s: %s after %s, %s", n.a.name, to, from, why)
+func (n agentObserver) StateChanged(from, to fleet.State, why string) {
+	n.a.w.logf("%s: %s after %s, %s", n.a.name, to, from, why)
 }
 
-func (n agentNotes) LeaseLapsed(time.Duration) {}
+func (n agentObserver) LeaseLapsed(time.Duration) {}
 
-func (n agentNotes) EndsUnconfirmed(ident.Incarnation, []fleet.End) {}
+func (n agentObserver) EndsUnconfirmed(ident.Incarnation, []fleet.End) {}
 
-func (n agentNotes) RunsOrphaned(_ ident.Incarnation, runs int, why string, _ time.Duration) {
-	n.a.w.note("%s: %d runs of an entry that is %s", n.a.name, runs, why)
+func (n agentObserver) RunsOrphaned(_ ident.Incarnation, runs int, why string, _ time.Duration) {
+	n.a.w.logf("%s: %d runs of an entry that is %s", n.a.name, runs, why)
 }
 
-func (n agentNotes) HeartbeatOutlived(id, by ident.UpstreamLife) {
-	n.a.w.note("%s: a late heartbeat of %s while %s lives", n.a.name, id, by)
+func (n agentObserver) HeartbeatOutlived(id, by ident.UpstreamLife) {
+	n.a.w.logf("%s: a late heartbeat of %s while %s lives", n.a.name, id, by)
 }
 
-func (n agentNotes) LifeBegun(life ident.UpstreamLife, why string, _ bool) {
-	n.a.w.note("%s: takes up %s by its %s", n.a.name, life, why)
+func (n agentObserver) LifeBegun(life ident.UpstreamLife, why string, _ bool) {
+	n.a.w.logf("%s: takes up %s by its %s", n.a.name, life, why)
 }
 
-func (n agentNotes) HeartbeatDropped(b lives.Heartbeat, newest uint64) {
-	n.a.w.note("%s: heartbeat %d of %s comes after %d", n.a.name, b.Sequence, b.ID, newest)
+func (n agentObserver) HeartbeatDropped(b lives.Heartbeat, newest uint64) {
+	n.a.w.logf("%s: heartbeat %d of %s comes after %d", n.a.name, b.Sequence, b.ID, newest)
 }
 
-func (n agentNotes) OrderGated(task job.TaskID, _ ident.Incarnation) {
-	n.a.w.note("%s: %v is refused, its zone is cordoned", n.a.name, task)
+func (n agentObserver) OrderGated(task job.TaskID, _ ident.Incarnation) {
+	n.a.w.logf("%s: %v is refused, its zone is cordoned", n.a.name, task)
 }
-func (n agentNotes) ListingOvertaken() {}
+func (n agentObserver) ListingOvertaken() {}
 
-func (n agentNotes) StrayChanged(fleet.RunRef, upstream.StrayEvent) {}
+func (n agentObserver) StrayChanged(fleet.RunRef, upstream.StrayEvent) {}
 
-func (n agentNotes) UpstreamLost(l upstream.Loss) {
-	n.a.w.note("%s: %v is lost (%s) with %v", n.a.name, l.Life, l.Why, l.Runs)
+func (n agentObserver) UpstreamLost(l upstream.Loss) {
+	n.a.w.logf("%s: %v is lost (%s) with %v", n.a.name, l.Life, l.Why, l.Runs)
 }
 
-func (n agentNotes) StartUnsure(task job.TaskID, run job.Run) {
-	n.a.w.note("%s: run %d of %v may have started", n.a.name, run, task)
+func (n agentObserver) StartUnsure(task job.TaskID, run job.Run) {
+	n.a.w.logf("%s: run %d of %v may have started", n.a.name, run, task)
 }
--- a/internal/proof/schedule/world_test.go
+++ b/internal/proof/schedule/world_test.go
@@ -18,11 +18,11 @@
 }
 
 const (
-	tick        = 20 * time.Millisecond
-	redial      = 100 * time.Millisecond
-	callTimeout = 150 * time.Millisecond
+	tickInterval   = 20 * time.Millisecond
+	redialInterval = 100 * time.Millisecond
+	callTimeout    = 150 * time.Millisecond
 	// resend is when a caller sends a job again after it has lost its entry.
-	resend = 1300 * time.Millisecond
+	resendDelay = 1300 * time.Millisecond
 )
 
 // world is one schedule.
@@ -39,25 +39,25 @@
 	order   []*submission
 	// holdBeats: heartbeats that are cut off arrive later, perhaps after their sender's end; in other worlds they are lost.
 	// Every third seed has it, so that the others' schedules stay what they were when they were traced.
-	holdBeats bool
+	delayHeartbeats bool
 	// odds are how callers behave and how often links are slow.
-	odds odds
+	profile profile
 	// operators cordon zones in worlds that have it.
 	operators *operators
 	// crashes lets tasks crash upstreams in worlds that have it.
 	crashes *crashes
 	// hard suspends VMs and lets rooms shrink in worlds that have it.
-	hard *hard
+	vmFaults *vmFaults
 	// cuts cut entries off from everything in worlds that have it.
-	cuts *cuts
+	partitions *partitions
 	// calls lets upstreams read calls late in worlds that have it.
-	calls *calls
+	lateCalls *lateCalls
 	// sliced lets processes get little of a core in worlds that have it.
-	sliced *sliced
+	cpuStarvation *cpuStarvation
 	// fixed: nothing is drawn; times are in the middle, and what is not sure does not happen.
 	fixed bool
 	// broken is the first violation.
-	broken string
+	violation string
 	// log holds what happened, for a schedule that fails.
 	log    []string
 	faults int
@@ -65,16 +65,16 @@
 
 // odds are chances that differ between worlds; each draw takes one number whatever its chance, so that schedules stay what
 // they are.
-type odds struct {
+type profile struct {
 	// leaves is how often a caller gives its job up early, again how often one that has left sends it again at once.
-	leaves, again float64
+	abandonRate, resubmitRate float64
 	// slowLinks is how many faults more are slow links, moreJobs how many times as many jobs come.
-	slowLinks, moreJobs int
+	extraSlowLinks, jobFactor int
 	// suspends: VMs are suspended for seconds. shrinks: the rooms of upstreams shrink and grow again. recalls: agents that start know what
 	// their former lives have remembered of their upstreams.
-	suspends, shrinks, recalls bool
+	suspendVMs, shrinkRooms, recallState bool
 	// moreAgents is how many more agents there are.
-	moreAgents int
+	extraAgents int
 	// restarts: upstreams that start again have the id that they had, clocks begin at any reading, lives say when they began, and
 	// upstreams leave and come back.
 	restarts bool
@@ -86,13 +86,13 @@
 	fewerCrashes bool
 	// cutOff: entries are cut off from everything, callers break off before the time that they have told is over, and what callers send meanwhile
 	// arrives late.
-	cutOff bool
+	partitions bool
 	// calls: upstreams read calls late, and in any order.
-	calls bool
+	lateCalls bool
 	// sliced: processes get little of a core.
-	sliced bool
+	cpuStarvation bool
 	// agentsHeard: such cuts leave out agents.
-	agentsHeard bool
+	agentsReachable bool
 }
 
 // impatientFrom is the first seed of the worlds in which many callers give up early and send again at once, over slow links.
@@ -104,49 +104,49 @@
 // cordonsFrom is the first seed of the worlds in which operators cordon zones.
 const cordonsFrom = 3_000_000_000
 
-func oddsOf(seed uint64) odds {
-	if seed >= callsFrom {
-		return odds{leaves: 0.05, again: 0.2, moreJobs: 1, calls: true}
+func profileOf(seed uint64) profile {
+	if seed >= lateCallsFrom {
+		return profile{abandonRate: 0.05, resubmitRate: 0.2, jobFactor: 1, lateCalls: true}
 	}
-	if seed >= slicedFrom {
-		return odds{leaves: 0.05, again: 0.2, moreJobs: 1, sliced: true}
+	if seed >= cpuStarvationFrom {
+		return profile{abandonRate: 0.05, resubmitRate: 0.2, jobFactor: 1, cpuStarvation: true}
 	}
-	if seed >= callersFrom {
-		return odds{leaves: 0.05, again: 0.2, moreJobs: 2, cutOff: true, agentsHeard: true}
+	if seed >= callerPartitionsFrom {
+		return profile{abandonRate: 0.05, resubmitRate: 0.2, jobFactor: 2, partitions: true, agentsReachable: true}
 	}
-	if seed >= cutsFrom {
-		return odds{leaves: 0.05, again: 0.2, moreJobs: 2, cutOff: true}
+	if seed >= partitionsFrom {
+		return profile{abandonRate: 0.05, resubmitRate: 0.2, jobFactor: 2, partitions: true}
 	}
-	if seed >= hardFrom {
-		return odds{leaves: 0.05, again: 0.2, moreJobs: 1, moreAgents: 1, crashes: seed%2 == 0, fewerCrashes: drawnWithFewer(seed), suspends: true, shrinks: true, recalls: true}
+	if seed >= vmFaultsFrom {
+		return profile{abandonRate: 0.05, resubmitRate: 0.2, jobFactor: 1, extraAgents: 1, crashes: seed%2 == 0, fewerCrashes: hasFewerCrashes(seed), suspendVMs: true, shrinkRooms: true, recallState: true}
 	}
 	if seed >= crashesFrom {
-		return odds{leaves: 0.05, again: 0.2, moreJobs: 1, crashes: true, fewerCrashes: drawnWithFewer(seed), moreAgents: 1}
+		return profile{abandonRate: 0.05, resubmitRate: 0.2, jobFactor: 1, crashes: true, fewerCrashes: hasFewerCrashes(seed), extraAgents: 1}
 	}
 	if seed >= cordonsFrom {
-		return odds{leaves: 0.05, again: 0.2, moreJobs: 1, cordons: true}
+		return profile{abandonRate: 0.05, resubmitRate: 0.2, jobFactor: 1, cordons: true}
 	}
 	if seed >= restartsFrom {
-		return odds{leaves: 0.05, again: 0.2, moreJobs: 1, restarts: true}
+		return profile{abandonRate: 0.05, resubmitRate: 0.2, jobFactor: 1, restarts: true}
 	}
 	if seed >= impatientFrom {
-		return odds{leaves: 0.5, again: 0.9, slowLinks: 4, moreJobs: 3}
+		return profile{abandonRate: 0.5, resubmitRate: 0.9, extraSlowLinks: 4, jobFactor: 3}
 	}
-	return odds{leaves: 0.05, again: 0.2, moreJobs: 1}
+	return profile{abandonRate: 0.05, resubmitRate: 0.2, jobFactor: 1}
 }
 
 func newWorld(seed uint64, without rule.Set) *world {
 	w := &world{
 		Clock: clock.New(time.Unix(1_000_000, 0)), seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), without: without,
-		jobs: make(map[job.ID]*submission), holdBeats: seed%3 == 0, odds: oddsOf(seed),
+		jobs: make(map[job.ID]*submission), delayHeartbeats: seed%3 == 0, profile: profileOf(seed),
 	}
 	w.store = newSimStore(w)
 	w.operators = newOperators(w)
 	w.crashes = newCrashes(w)
-	w.hard = newHard(w)
-	w.cuts = newCuts(w)
-	w.calls = newCalls(w)
-	w.sliced = newSliced(w)
+	w.vmFaults = newVMFaults(w)
+	w.partitions = newPartitions(w)
+	w.lateCalls = newLateCalls(w)
+	w.cpuStarvation = newCPUStarvation(w)
 	return w
 }
 
@@ -167,21 +167,21 @@
 
 // run lets time pass until a moment after the start, or until something is broken.
 func (w *world) run(until time.Duration) {
-	for w.broken == "" && w.Next(until) {
+	for w.violation == "" && w.Next(until) {
 	}
-	if w.broken == "" {
+	if w.violation == "" {
 		w.Advance(until)
 	}
 }
 
 // violate notes that something does not hold.
 func (w *world) violate(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, args...)
-		w.note("VIOLATED: %s", w.broken)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, args...)
+		w.logf("VIOLATED: %s", w.violation)
 	}
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *world) logf(format string, args ...any) {
 	w.log = append(w.log, fmt.Sprintf("%8.4f ", w.Since().Seconds())+fmt.Sprintf(format, args...))
 }
