--- a/internal/proof/schedule/cordons_test.go
+++ b/internal/proof/schedule/cordons_test.go
@@ -183,10 +183,10 @@
 		}
 		for _, s := range side.cordons.TakeDue(e.cordons.Snapshots()) {
 			side.send(func() {
-				reply := side.other
-				reply.cordons.RecordReceived(s)
+				replySide := side.other
+				replySide.cordons.RecordReceived(s)
 				a.adoptCordons(s)
-				a.sendCordons(reply)
+				a.sendCordons(replySide)
 			})
 		}
 	}
@@ -223,10 +223,10 @@
 		}
 		for _, s := range side.cordons.TakeDue(a.cordons.Snapshots()) {
 			side.send(func() {
-				reply := side.other
-				reply.cordons.RecordReceived(s)
+				replySide := side.other
+				replySide.cordons.RecordReceived(s)
 				e.adoptCordons(s)
-				e.sendCordons(reply)
+				e.sendCordons(replySide)
 			})
 		}
 	}
--- a/internal/proof/schedule/link_test.go
+++ b/internal/proof/schedule/link_test.go
@@ -23,7 +23,7 @@
 	cordons *cordon.Peer
 	// slow is the longest extra delay of a message. Both sides of a link and the links that follow it share the value.
 	slow *time.Duration
-	// cut is whether messages to the other side are held back until the partition ends.
+	// cut indicates whether messages to the other side are held back until the partition ends.
 	cut     *bool
 	delayed []func()
 }
--- a/internal/proof/schedule/partitions_test.go
+++ b/internal/proof/schedule/partitions_test.go
@@ -92,7 +92,8 @@
 	})
 }
 
-// drawCallerWait returns how long a caller waits that has told its entry a time.
+// drawCallerWait returns how long a caller waits before it disconnects. In worlds with partitions that may be less than
+// the time that it announced to its entry.
 func (c *partitions) drawCallerWait(announced time.Duration) time.Duration {
 	if !c.w.profile.partitions {
 		return announced
--- a/internal/proof/schedule/process_test.go
+++ b/internal/proof/schedule/process_test.go
@@ -128,18 +128,18 @@
 	proc
 	table    *dispatch.Table
 	keptJobs *owner.Owner
-	// storeCut is whether the store is unreachable from this entry.
+	// storeCut indicates whether the store is unreachable from this entry.
 	storeCut bool
-	// storeSilentSince is since when the store has not answered; zero means that it answers.
+	// storeSilentSince is when the first call since the last successful one failed or was refused; zero if there is none.
 	storeSilentSince time.Time
 	waiting          map[dispatch.CallerID]func(dispatch.Answer)
 	// open holds the requests whose connections end with the process.
 	open map[dispatch.CallerID]openRequest
-	// powerLost is whether the process ended because its VM lost power, so that no peer is notified.
+	// powerLost indicates whether the process ended because its VM lost power, so that no peer is notified.
 	powerLost bool
 	// cordons is what this incarnation knows of cordons.
 	cordons *cordon.Set
-	// callersCut is whether the entry is cut off from callers without noticing.
+	// callersCut indicates whether the entry is cut off from callers without noticing.
 	callersCut bool
 	// isolatedUntil is when the newest isolation of the entry ends.
 	isolatedUntil time.Time
--- a/internal/proof/schedule/schedule_test.go
+++ b/internal/proof/schedule/schedule_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// atRest reports whether no job, run or unacknowledged end is left.
+// atRest reports whether no job, run or listed end is left and every accepted kept job has ended.
 func (w *world) atRest() bool {
 	for _, e := range w.entries {
 		if e.alive && e.table.Jobs()+e.keptJobs.Len() > 0 {
--- a/internal/proof/schedule/store_test.go
+++ b/internal/proof/schedule/store_test.go
@@ -15,7 +15,7 @@
 	"hillreel/internal/standin/memory"
 )
 
-// layout spreads kept jobs over two partitions.
+// layout spreads kept jobs over two parts.
 var layout = record.Layout{Parts: 2}
 
 // simStore behaves as the platform specifies for its store.
@@ -109,7 +109,7 @@
 	})
 }
 
-// Unavailable reports whether the store has not answered for more than a second.
+// Unavailable reports whether no call to the store has succeeded for more than a second.
 func (x storeIO) Unavailable() bool {
 	return !x.e.storeSilentSince.IsZero() && x.e.now().Sub(x.e.storeSilentSince) > time.Second
 }
--- a/internal/proof/schedule/unrequested_test.go
+++ b/internal/proof/schedule/unrequested_test.go
@@ -98,7 +98,7 @@
 
 // TestLateStartOfCancelledJob guards against a run that nobody stops: an upstream starts a task late, after its job was
 // cancelled and after the agent forgot the order. The agent must stop the run. If the agent was removed for good, the
-// lapse of its lease must end the run.
+// lapse of the upstream's lease must end the run.
 func TestLateStartOfCancelledJob(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/proof/schedule/upstream_test.go
+++ b/internal/proof/schedule/upstream_test.go
@@ -26,7 +26,7 @@
 	startedAt time.Time
 	work      time.Duration
 	result    call.Result
-	// hangs is whether the run never makes progress or ends by itself.
+	// hangs indicates whether the run never makes progress or ends by itself.
 	hangs    bool
 	stopping bool
 }
@@ -45,7 +45,7 @@
 	born          time.Time
 	reportedBirth ident.Born
 	clockOffset   call.Clock
-	// draining is whether the upstream reports that it leaves; drainHeardAt is when its agent learned that.
+	// draining indicates whether the upstream reports that it leaves; drainHeardAt is when its agent learned that.
 	draining     bool
 	drainHeardAt time.Time
 	// executesLate is true while the upstream carries out a late order.
@@ -66,7 +66,7 @@
 	// lossRate is the probability that an order gets no answer; lateRate is the probability that such an order is carried
 	// out seconds late.
 	lossRate, lateRate float64
-	// dropsLost is whether the unanswered orders that are not late are never carried out.
+	// dropsLost indicates whether the unanswered orders that are not late are never carried out.
 	dropsLost bool
 	// maxLag is the longest time that calls and answers are in transit; zero means the usual time.
 	maxLag time.Duration
@@ -77,7 +77,7 @@
 	// room is the room that the upstream reports, formerRooms are those it had.
 	room        job.Resources
 	formerRooms []formerRoom
-	// cut is whether the upstream is cut off while it runs on.
+	// cut indicates whether the upstream is cut off while it runs on.
 	cut bool
 }
 
--- a/internal/proof/schedule/world_test.go
+++ b/internal/proof/schedule/world_test.go
@@ -37,9 +37,9 @@
 	pairs   []*pair
 	jobs    map[job.ID]*submission
 	order   []*submission
-	// delayHeartbeats is whether heartbeats that are cut off arrive later, perhaps after their sender's end. In other
-	// worlds they are lost. Every third seed has it, so that the schedules of the other seeds stay as they were when they
-	// were traced.
+	// delayHeartbeats indicates whether heartbeats that are cut off arrive later, perhaps after their sender's end. In
+	// other worlds they are lost. Every third seed has it, so that the schedules of the other seeds stay as they were when
+	// they were traced.
 	delayHeartbeats bool
 	// profile holds the probabilities and kinds of faults of this world.
 	profile profile
@@ -55,8 +55,8 @@
 	lateCalls *lateCalls
 	// cpuStarvation gives processes little CPU time if profile.cpuStarvation is set.
 	cpuStarvation *cpuStarvation
-	// fixed is whether the main random source is replaced: durations are the middle of their range, and only events with
-	// probability 1 happen.
+	// fixed indicates whether the main random source is replaced: durations are the middle of their range, and only events
+	// with probability 1 happen.
 	fixed bool
 	// violation describes the first violation; it is empty if there is none.
 	violation string
