--- a/commands/demo.go
+++ b/commands/demo.go
@@ -147,7 +147,7 @@
 }
 
 // print tells what was seen, and whether all of it was good.
-func (r *demoResult) print(out io.Writer, set *embedded.Set) bool {
+func (r *demoResult) print(out io.Writer, set *embedded.Cluster) bool {
 	starts, done := set.Ledger.Counts()
 	total := 0
 	for _, n := range r.states {
--- a/internal/proof/soak/callers_test.go
+++ b/internal/proof/soak/callers_test.go
@@ -14,7 +14,7 @@
 )
 
 // resend is the pause before a job whose answer was lost is sent again.
-const resend = 1300 * time.Millisecond
+const resendPause = 1300 * time.Millisecond
 
 // job is one job with what its caller has heard.
 type job struct {
@@ -22,9 +22,9 @@
 	tasks int
 	runMs int
 	// answers are the statuses of its attempts; 0 is none.
-	answers []int
-	state   string
-	left    bool
+	answers    []int
+	state      string
+	callerLeft bool
 	// kept: the job is answered once it is stored, and must complete whatever happens then.
 	kept bool
 	// crash: its tasks crash upstreams.
@@ -35,34 +35,34 @@
 // long as the entry was told: callers send no probes, and one that learned of the silence earlier than the entry could send its
 // job again while that runs it.
 type callers struct {
-	s    *set
-	http *http.Client
-	mu   sync.Mutex
-	jobs []*job
-	wait sync.WaitGroup
+	cluster *cluster
+	http    *http.Client
+	mu      sync.Mutex
+	jobs    []*job
+	wait    sync.WaitGroup
 }
 
-func newCallers(s *set) *callers {
+func newCallers(s *cluster) *callers {
 	dialer := &net.Dialer{Timeout: 500 * time.Millisecond, KeepAlive: -1}
-	return &callers{s: s, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, DialContext: dialer.DialContext}}}
+	return &callers{cluster: s, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, DialContext: dialer.DialContext}}}
 }
 
 // crashOdds: one job in so many has a task that crashes the upstreams that start it.
-const crashOdds = 80
+const crashOneIn = 80
 
 // submit sends one job, and again to another entry while its answer is lost. patience is how long each answer is
 // waited for; leave is when the caller breaks off for good, zero is never.
 func (c *callers) submit(rng *rand.Rand, patience, leave time.Duration) {
 	id := rng.Uint64()
-	j := &job{id: fmt.Sprintf("%016x", id), tasks: 1 + rng.IntN(4), runMs: 20 + rng.IntN(300), left: leave > 0}
+	j := &job{id: fmt.Sprintf("%016x", id), tasks: 1 + rng.IntN(4), runMs: 20 + rng.IntN(300), callerLeft: leave > 0}
 	if rng.IntN(5) == 0 {
 		j.runMs = 1000 + rng.IntN(1500)
 	}
 	j.kept = rng.IntN(4) == 0
-	if id%crashOdds == 0 {
+	if id%crashOneIn == 0 {
 		j.crash, j.tasks = true, 1
 	}
-	first := rng.IntN(len(c.s.entries))
+	first := rng.IntN(len(c.cluster.entries))
 	c.mu.Lock()
 	c.jobs = append(c.jobs, j)
 	c.mu.Unlock()
@@ -72,7 +72,7 @@
 			if leave > 0 {
 				limit = leave
 			}
-			status, state := c.send(j, c.s.entries[(first+attempt)%len(c.s.entries)], limit, patience)
+			status, state := c.send(j, c.cluster.entries[(first+attempt)%len(c.cluster.entries)], limit, patience)
 			c.mu.Lock()
 			j.answers = append(j.answers, status)
 			j.state = state
@@ -80,7 +80,7 @@
 			if leave > 0 || status == http.StatusOK || status == http.StatusServiceUnavailable {
 				return
 			}
-			time.Sleep(resend)
+			time.Sleep(resendPause)
 		}
 	})
 }
@@ -90,11 +90,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	body := fmt.Sprintf(`{"spec":"{\"run_ms\":%d,\"cpu\":1000,\"crash\":%v}","best_effort":%v,"phases":[{"count":%d,"cpu":1000,"mem_mb":1,"estimate_ms":%d}]}`, j.runMs, j.crash, !j.kept, j.tasks, j.runMs)
-	return c.call(ctx, http.MethodPost, e, j, body, patience)
+	return c.request(ctx, http.MethodPost, e, j, body, patience)
 }
 
 // call makes one call about a job and returns its status, or 0 without an answer.
-func (c *callers) call(ctx context.Context, method string, e *process, j *job, body string, patience time.Duration) (int, string) {
+func (c *callers) request(ctx context.Context, method string, e *process, j *job, body string, patience time.Duration) (int, string) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.front.address()+"/jobs/"+j.id, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return 0, ""
@@ -115,19 +115,19 @@
 }
 
 // check compares what callers have heard with what upstreams have done.
-func (c *callers) check() []string {
+func (c *callers) checkAnswers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
 	for _, j := range c.jobs {
-		begun, done := c.s.ledger.Job(j.id)
+		begun, done := c.cluster.ledger.Job(j.id)
 		last, refused := 0, true
 		for _, a := range j.answers {
 			last = a
 			refused = refused && a == http.StatusServiceUnavailable
 		}
 		switch {
-		case strings.Contains(j.state, "failed") && !c.s.ledger.MayFail(j.id):
+		case strings.Contains(j.state, "failed") && !c.cluster.ledger.MayFail(j.id):
 			out = append(out, fmt.Sprintf("job %s is called failed, and nothing of it has failed or crashed upstreams often enough", j.id))
 		case strings.Contains(j.state, "completed") && done < j.tasks:
 			out = append(out, fmt.Sprintf("job %s is called complete with %d of %d tasks done", j.id, done, j.tasks))
@@ -154,13 +154,13 @@
 				break
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			_, state = c.call(ctx, http.MethodGet, c.s.entries[i%len(c.s.entries)], j, "", 2*time.Second)
+			_, state = c.request(ctx, http.MethodGet, c.cluster.entries[i%len(c.cluster.entries)], j, "", 2*time.Second)
 			cancel()
 		}
-		if strings.Contains(state, "failed") && !c.s.ledger.MayFail(j.id) {
+		if strings.Contains(state, "failed") && !c.cluster.ledger.MayFail(j.id) {
 			out = append(out, fmt.Sprintf("job %s is shown as failed, and nothing of it has failed or crashed upstreams often enough", j.id))
 		}
-		if _, done := c.s.ledger.Job(j.id); strings.Contains(state, "completed") && done < j.tasks {
+		if _, done := c.cluster.ledger.Job(j.id); strings.Contains(state, "completed") && done < j.tasks {
 			out = append(out, fmt.Sprintf("job %s is shown as complete with %d of %d tasks done", j.id, done, j.tasks))
 		}
 	}
@@ -174,7 +174,7 @@
 	out := make(map[string]int)
 	for _, j := range c.jobs {
 		switch {
-		case j.left:
+		case j.callerLeft:
 			out["left"]++
 		case len(j.answers) == 0 || j.answers[len(j.answers)-1] == 0:
 			out["no answer"]++
--- a/internal/proof/soak/claim_test.go
+++ b/internal/proof/soak/claim_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestLeftProcessesKeepTheirNet guards against sets whose processes are those of an earlier run, which go by another store.
-func TestLeftProcessesKeepTheirNet(t *testing.T) {
+func TestSubnetOfLeftoverProcessesIsSkipped(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		// kind and n name the process that is left.
@@ -18,14 +18,14 @@
 		{"the last agent", 2, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			former, next := &set{t: t}, &set{t: t}
-			store := former.claim(1, 2)
-			left := former.listen(at(former.ip(test.kind, test.n), portMetrics))
+			former, next := &cluster{t: t}, &cluster{t: t}
+			store := former.reserveSubnet(1, 2)
+			left := former.listen(hostPort(former.ip(test.kind, test.n), portMetrics))
 			defer left.Close()
 			store.Close()
-			claimed := next.claim(1, 2)
+			claimed := next.reserveSubnet(1, 2)
 			defer claimed.Close()
-			qt.Assert(t, next.net, qt.Not(qt.Equals), former.net)
+			qt.Assert(t, next.subnet, qt.Not(qt.Equals), former.subnet)
 		})
 	}
 }
--- a/internal/proof/soak/evacuate_test.go
+++ b/internal/proof/soak/evacuate_test.go
@@ -8,16 +8,16 @@
 
 const (
 	// cordonEvery is the mean pause between two requests of the operators.
-	cordonEvery = 800 * time.Millisecond
+	cordonInterval = 800 * time.Millisecond
 	// cordonBound is how long after a request, when all faults are over, nothing may start in the zone any more: the platform's
 	// bound on configuration, 5 s.
 	cordonBound = 5 * time.Second
 	// afterCordon is how many jobs are sent then, one after the other.
-	afterCordon = 20
+	jobsAfterCordon = 20
 )
 
 // evacuate asks that nothing more be sent to a zone, or takes that back, or puts a row of another writer beside such requests.
-func (s *set) evacuate(rng *rand.Rand) string {
+func (s *cluster) changeEvacuations(rng *rand.Rand) string {
 	zone := zoneOf(rng.IntN(zones))
 	switch rng.IntN(8) {
 	case 0, 1, 2:
@@ -37,7 +37,7 @@
 }
 
 // leaveOneZone takes back all requests but one, and returns its zone.
-func (s *set) leaveOneZone(rng *rand.Rand) string {
+func (s *cluster) leaveOneZoneEvacuated(rng *rand.Rand) string {
 	for i := range zones {
 		s.store.TakeBack(zoneOf(i))
 	}
@@ -47,7 +47,7 @@
 }
 
 // startsIn counts the starts in a zone.
-func (s *set) startsIn(zone string) int {
+func (s *cluster) startsIn(zone string) int {
 	n := 0
 	for i, a := range s.agents {
 		if a.zone == zone {
@@ -59,10 +59,10 @@
 
 // checkEvacuated checks, when all faults are over, that nothing starts in the zone that is left evacuated, and that work comes back to it
 // when the request is taken back.
-func (s *set) checkEvacuated(zone string) []string {
+func (s *cluster) checkEvacuated(zone string) []string {
 	time.Sleep(cordonBound)
 	before := s.startsIn(zone)
-	if why := calm(s, afterCordon); why != "" {
+	if why := probeIdle(s, jobsAfterCordon); why != "" {
 		return []string{"with " + zone + " evacuated: " + why}
 	}
 	if n := s.startsIn(zone) - before; n > 0 {
@@ -73,7 +73,7 @@
 		if time.Now().After(until) {
 			return []string{"nothing starts in " + zone + " after it was taken back"}
 		}
-		if why := calm(s, 1); why != "" {
+		if why := probeIdle(s, 1); why != "" {
 			return []string{"after " + zone + " was taken back: " + why}
 		}
 	}
--- a/internal/proof/soak/keep_test.go
+++ b/internal/proof/soak/keep_test.go
@@ -15,17 +15,17 @@
 	// readToken lets the soak read what entries tell operators.
 	readToken = "soak"
 	// readWait is how long a process has to tell what it knows; one that stands still tells nothing.
-	readWait = time.Second
+	fetchTimeout = time.Second
 )
 
 // keep copies the logs of a seed that failed, and asks all processes what they know: their metrics, and entries for the upstreams as
 // they see them. A seed that fails again has a directory of its own each time.
-func (s *set) keep(seed uint64, problems ...string) {
-	if *soakKeepIn == "" {
+func (s *cluster) saveDiagnostics(seed uint64, problems ...string) {
+	if *soakKeepDir == "" {
 		return
 	}
-	s.keepState()
-	into, err := keptDir(seed)
+	s.saveState()
+	into, err := makeDiagnosticsDir(seed)
 	if err == nil {
 		err = os.WriteFile(filepath.Join(s.dir, "problems.txt"), []byte(strings.Join(problems, "\n")+"\n"), 0o600)
 	}
@@ -38,28 +38,28 @@
 }
 
 // keptDir makes a directory for what is kept of a seed.
-func keptDir(seed uint64) (string, error) {
-	if err := os.MkdirAll(*soakKeepIn, 0o700); err != nil {
+func makeDiagnosticsDir(seed uint64) (string, error) {
+	if err := os.MkdirAll(*soakKeepDir, 0o700); err != nil {
 		return "", err
 	}
-	return os.MkdirTemp(*soakKeepIn, fmt.Sprintf("seed-%d-", seed))
+	return os.MkdirTemp(*soakKeepDir, fmt.Sprintf("seed-%d-", seed))
 }
 
 // keepState writes what the processes know now beside their logs.
-func (s *set) keepState() {
+func (s *cluster) saveState() {
 	var group sync.WaitGroup
 	for _, p := range s.processes() {
-		group.Go(func() { s.keepAnswer(p, "/metrics", "metrics") })
+		group.Go(func() { s.saveResponse(p, "/metrics", "metrics") })
 		if p.role == "entry" {
-			group.Go(func() { s.keepAnswer(p, "/v1/upstreams", "upstreams") })
+			group.Go(func() { s.saveResponse(p, "/v1/upstreams", "upstreams") })
 		}
 	}
 	group.Wait()
 }
 
 // keepAnswer writes what a process answers at a path of its metrics address, or why it does not.
-func (s *set) keepAnswer(p *process, path, what string) {
-	raw, err := readAnswer("http://" + p.metrics + path)
+func (s *cluster) saveResponse(p *process, path, what string) {
+	raw, err := fetch("http://" + p.metrics + path)
 	if err != nil {
 		raw = []byte(err.Error() + "\n")
 	}
@@ -69,13 +69,13 @@
 }
 
 // readAnswer reads what operators may read.
-func readAnswer(url string) ([]byte, error) {
+func fetch(url string) ([]byte, error) {
 	req, err := http.NewRequest(http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
 	req.Header.Set("Authorization", "Bearer "+readToken)
-	client := &http.Client{Timeout: readWait, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: fetchTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	res, err := client.Do(req)
 	if err != nil {
 		return nil, err
--- a/internal/proof/soak/proxy_test.go
+++ b/internal/proof/soak/proxy_test.go
@@ -12,28 +12,28 @@
 
 // proxy passes connections on, and can hold them up, silence them in either direction, or reset them.
 type proxy struct {
-	ln net.Listener
-	to string
+	ln     net.Listener
+	target string
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 	delay time.Duration
 	// mute holds back what goes towards the server, deaf what comes from it.
-	mute, deaf bool
+	holdToServer, holdFromServer bool
 	// silent are connections over which nothing comes any more. They are kept to the end of the set, since an end of theirs
 	// would be heard.
-	silent map[net.Conn]bool
+	silenced map[net.Conn]bool
 }
 
 // quiet sends no keep-alive probes: a process would take them for signs of life.
-var quiet = net.ListenConfig{KeepAlive: -1}
+var noKeepAlive = net.ListenConfig{KeepAlive: -1}
 
 func newProxy(address, to string) (*proxy, error) {
-	ln, err := quiet.Listen(context.Background(), "tcp", address)
+	ln, err := noKeepAlive.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{ln: ln, to: to, conns: make(map[net.Conn]bool), silent: make(map[net.Conn]bool)}
+	p := &proxy{ln: ln, target: to, conns: make(map[net.Conn]bool), silenced: make(map[net.Conn]bool)}
 	go p.accept()
 	return p, nil
 }
@@ -52,7 +52,7 @@
 
 func (p *proxy) serve(near net.Conn) {
 	dialer := net.Dialer{Timeout: time.Second, KeepAlive: -1}
-	far, err := dialer.Dial("tcp", p.to)
+	far, err := dialer.Dial("tcp", p.target)
 	if err != nil {
 		reset(near)
 		return
@@ -60,8 +60,8 @@
 	p.mu.Lock()
 	p.conns[near], p.conns[far] = true, true
 	p.mu.Unlock()
-	go p.carry(near, far, func() bool { return p.mute })
-	p.carry(far, near, func() bool { return p.deaf })
+	go p.copyOneWay(near, far, func() bool { return p.holdToServer })
+	p.copyOneWay(far, near, func() bool { return p.holdFromServer })
 	p.mu.Lock()
 	delete(p.conns, near)
 	delete(p.conns, far)
@@ -69,11 +69,11 @@
 }
 
 // chunkPoll is how often a silenced direction looks whether it may go on.
-const chunkPoll = 5 * time.Millisecond
+const holdPoll = 5 * time.Millisecond
 
 // carry copies one direction until either side ends.
-func (p *proxy) carry(from, to net.Conn, held func() bool) {
-	defer p.end(from, to)
+func (p *proxy) copyOneWay(from, to net.Conn, held func() bool) {
+	defer p.closeUnlessSilenced(from, to)
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
@@ -82,12 +82,12 @@
 		p.mu.Unlock()
 		time.Sleep(wait)
 		for hold {
-			time.Sleep(chunkPoll)
+			time.Sleep(holdPoll)
 			p.mu.Lock()
 			hold = held()
 			p.mu.Unlock()
 		}
-		if p.isSilent(from) {
+		if p.isSilenced(from) {
 			return
 		}
 		if n > 0 {
@@ -105,16 +105,16 @@
 }
 
 // isSilent tells whether a connection was silenced.
-func (p *proxy) isSilent(c net.Conn) bool {
+func (p *proxy) isSilenced(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.silent[c]
+	return p.silenced[c]
 }
 
 // end closes connections, unless nobody may hear of it.
-func (p *proxy) end(conns ...net.Conn) {
+func (p *proxy) closeUnlessSilenced(conns ...net.Conn) {
 	for _, c := range conns {
-		if !p.isSilent(c) {
+		if !p.isSilenced(c) {
 			c.Close()
 		}
 	}
@@ -125,8 +125,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		p.silent[c] = true
-		if err := silence.Deafen(c); err != nil {
+		p.silenced[c] = true
+		if err := silence.DropIncoming(c); err != nil {
 			return err
 		}
 	}
@@ -143,10 +143,10 @@
 }
 
 // set changes how connections are treated from now on.
-func (p *proxy) set(delay time.Duration, mute, deaf bool) {
+func (p *proxy) setFault(delay time.Duration, mute, deaf bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.delay, p.mute, p.deaf = delay, mute, deaf
+	p.delay, p.holdToServer, p.holdFromServer = delay, mute, deaf
 }
 
 // resetAll resets all connections.
@@ -163,7 +163,7 @@
 	p.resetAll()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.silent {
+	for c := range p.silenced {
 		reset(c)
 	}
 }
--- a/internal/proof/soak/resend_test.go
+++ b/internal/proof/soak/resend_test.go
@@ -28,55 +28,55 @@
 )
 
 // kind is a kind of best-effort job.
-type kind struct {
+type jobKind struct {
 	tasks, runMs int
 	// odds are its share of all jobs.
-	odds float64
+	share float64
 }
 
 // kinds are wide and short, long, and narrow.
-var kinds = []kind{{8, 60, 0.24}, {4, 900, 0.05}, {2, 200, 0.71}}
+var jobKinds = []jobKind{{8, 60, 0.24}, {4, 900, 0.05}, {2, 200, 0.71}}
 
 const (
 	// attemptWait is how long a caller waits for one answer; it tells entries how long it waits in all.
-	attemptWait = 1500 * time.Millisecond
+	attemptTimeout = 1500 * time.Millisecond
 	// callerWait is how long it waits in all.
-	callerWait = 3300 * time.Millisecond
+	callerTimeout = 3300 * time.Millisecond
 	// entryFaultEvery is the mean pause between two faults of entries.
-	entryFaultEvery = 1200 * time.Millisecond
+	entryFaultInterval = 1200 * time.Millisecond
 	// slice is the time in which a process that is held back runs for its share.
-	slice = 100 * time.Millisecond
+	throttlePeriod = 100 * time.Millisecond
 )
 
 // drawKind draws a kind of job.
-func drawKind(rng *rand.Rand) kind {
+func drawJobKind(rng *rand.Rand) jobKind {
 	x := rng.Float64()
-	for _, k := range kinds {
-		if x < k.odds {
+	for _, k := range jobKinds {
+		if x < k.share {
 			return k
 		}
-		x -= k.odds
+		x -= k.share
 	}
-	return kinds[len(kinds)-1]
+	return jobKinds[len(jobKinds)-1]
 }
 
 // submitImpatient sends one best-effort job, and to another entry 1.3 s after a connection broke, or after an attempt that was
 // not answered in time, whose connection it closes at its own side: whether its entry hears of that is not its concern.
 func (c *callers) submitImpatient(rng *rand.Rand) {
-	k := drawKind(rng)
+	k := drawJobKind(rng)
 	j := &job{id: fmt.Sprintf("%016x", rng.Uint64()), tasks: k.tasks, runMs: k.runMs}
-	first := rng.IntN(len(c.s.entries))
+	first := rng.IntN(len(c.cluster.entries))
 	c.mu.Lock()
 	c.jobs = append(c.jobs, j)
 	c.mu.Unlock()
 	c.wait.Go(func() {
 		began := time.Now()
 		for attempt := 0; ; attempt++ {
-			left := callerWait - time.Since(began)
+			left := callerTimeout - time.Since(began)
 			if left <= 0 {
 				return
 			}
-			status, state := c.send(j, c.s.entries[(first+attempt)%len(c.s.entries)], min(attemptWait, left), left)
+			status, state := c.send(j, c.cluster.entries[(first+attempt)%len(c.cluster.entries)], min(attemptTimeout, left), left)
 			c.mu.Lock()
 			j.answers = append(j.answers, status)
 			j.state = state
@@ -84,85 +84,85 @@
 			if status == http.StatusOK || status == http.StatusServiceUnavailable {
 				return
 			}
-			time.Sleep(resend)
+			time.Sleep(resendPause)
 		}
 	})
 }
 
 // holdBack lets a process run for a share of each slice, until ctx ends.
-func (s *set) holdBack(ctx context.Context, p *process, share float64) {
-	runs := time.Duration(share * float64(slice))
+func (s *cluster) throttle(ctx context.Context, p *process, share float64) {
+	runs := time.Duration(share * float64(throttlePeriod))
 	for ctx.Err() == nil {
 		time.Sleep(runs)
-		if p.frozen.Load() {
+		if p.suspended.Load() {
 			continue
 		}
 		s.signal(p, syscall.SIGSTOP)
-		time.Sleep(slice - runs)
-		if !p.frozen.Load() {
+		time.Sleep(throttlePeriod - runs)
+		if !p.suspended.Load() {
 			s.signal(p, syscall.SIGCONT)
 		}
 	}
 }
 
 // holdAllBack lets agents run for a share of each slice, and entries for twice that, until ctx ends.
-func (s *set) holdAllBack(ctx context.Context, share float64) {
+func (s *cluster) throttleAll(ctx context.Context, share float64) {
 	for i, p := range s.processes() {
 		of := share
 		if p.role == "entry" {
 			of *= 2
 		}
 		if of < 1 {
-			time.AfterFunc(time.Duration(i)*slice/7, func() { s.holdBack(ctx, p, of) })
+			time.AfterFunc(time.Duration(i)*throttlePeriod/7, func() { s.throttle(ctx, p, of) })
 		}
 	}
 }
 
 // freeze stops a process for a while.
-func (s *set) freeze(p *process, span time.Duration) {
-	p.frozen.Store(true)
+func (s *cluster) suspend(p *process, span time.Duration) {
+	p.suspended.Store(true)
 	s.signal(p, syscall.SIGSTOP)
 	time.AfterFunc(span, func() {
-		p.frozen.Store(false)
+		p.suspended.Store(false)
 		s.signal(p, syscall.SIGCONT)
 	})
 }
 
 // cutOff cuts an entry off from everything for a while, unless it is cut off already. What callers send meanwhile, ends of streams among it,
 // is sent again after pauses that double, as a kernel does: it arrives when as much time again has passed.
-func (s *set) cutOff(e *process, span time.Duration) {
-	if !e.cut.CompareAndSwap(false, true) {
+func (s *cluster) cutOff(e *process, span time.Duration) {
+	if !e.cutOff.CompareAndSwap(false, true) {
 		return
 	}
 	for _, p := range []*proxy{e.link, e.store} {
-		p.set(0, true, true)
+		p.setFault(0, true, true)
 	}
-	e.front.set(0, true, true)
+	e.front.setFault(0, true, true)
 	time.AfterFunc(span, func() {
-		e.link.set(0, false, false)
-		e.store.set(0, false, false)
-		e.front.set(0, true, false)
+		e.link.setFault(0, false, false)
+		e.store.setFault(0, false, false)
+		e.front.setFault(0, true, false)
 	})
 	time.AfterFunc(2*span, func() {
-		e.front.set(0, false, false)
-		e.cut.Store(false)
+		e.front.setFault(0, false, false)
+		e.cutOff.Store(false)
 	})
 }
 
 // cutCallersOff cuts an entry off from callers alone for a while; what they send meanwhile arrives as after cutOff.
-func (s *set) cutCallersOff(e *process, span time.Duration) {
-	e.front.set(0, true, true)
-	time.AfterFunc(span, func() { e.front.set(0, true, false) })
-	time.AfterFunc(2*span, func() { e.front.set(0, false, false) })
+func (s *cluster) cutCallersOff(e *process, span time.Duration) {
+	e.front.setFault(0, true, true)
+	time.AfterFunc(span, func() { e.front.setFault(0, true, false) })
+	time.AfterFunc(2*span, func() { e.front.setFault(0, false, false) })
 }
 
 // entryFault lets something happen to one entry, or to several agents.
-func (s *set) entryFault(rng *rand.Rand) string {
+func (s *cluster) injectEntryFault(rng *rand.Rand) string {
 	e, a := s.entries[rng.IntN(len(s.entries))], s.agents[rng.IntN(len(s.agents))]
 	span := time.Duration(300+rng.IntN(2700)) * time.Millisecond
 	switch rng.IntN(8) {
 	case 0, 1:
-		s.freeze(e, span)
+		s.suspend(e, span)
 		return fmt.Sprintf("freeze %s %v", e.name, span)
 	case 2, 3:
 		s.cutOff(e, span)
@@ -174,7 +174,7 @@
 		s.restart(e, syscall.SIGTERM, span)
 		return "term " + e.name
 	case 6:
-		s.freeze(a, span)
+		s.suspend(a, span)
 		return fmt.Sprintf("freeze %s %v", a.name, span)
 	}
 	for i, p := range s.agents {
@@ -187,7 +187,7 @@
 
 // callFault lets an upstream read calls late, after their senders have given up and closed the connections, while newer ones overtake
 // them, and its agent stand still or start again beside them.
-func (s *set) callFault(rng *rand.Rand) string {
+func (s *cluster) injectCallFault(rng *rand.Rand) string {
 	a := s.agents[rng.IntN(len(s.agents))]
 	span := time.Duration(100+rng.IntN(1900)) * time.Millisecond
 	switch rng.IntN(8) {
@@ -196,20 +196,20 @@
 		time.AfterFunc(span, func() { a.upstream.Break(standin.UpstreamFault{}) })
 		return fmt.Sprintf("orders of %s are taken up %v late", a.name, span)
 	case 2, 3:
-		a.calls.set(span, false, false)
-		time.AfterFunc(span, func() { a.calls.set(0, false, false) })
+		a.calls.setFault(span, false, false)
+		time.AfterFunc(span, func() { a.calls.setFault(0, false, false) })
 		return fmt.Sprintf("calls of %s and their answers are %v late", a.name, span)
 	case 4:
-		a.calls.set(0, false, true)
-		time.AfterFunc(span, func() { a.calls.set(0, false, false) })
+		a.calls.setFault(0, false, true)
+		time.AfterFunc(span, func() { a.calls.setFault(0, false, false) })
 		return fmt.Sprintf("answers to %s are held up for %v", a.name, span)
 	case 5:
-		a.calls.set(span, false, false)
+		a.calls.setFault(span, false, false)
 		time.AfterFunc(span/4, func() { s.restart(a, syscall.SIGKILL, span/4) })
-		time.AfterFunc(span/2, func() { a.calls.set(0, false, false) })
+		time.AfterFunc(span/2, func() { a.calls.setFault(0, false, false) })
 		return fmt.Sprintf("%s is killed while its calls are %v late", a.name, span)
 	case 6:
-		s.freeze(a, span)
+		s.suspend(a, span)
 		return fmt.Sprintf("freeze %s %v", a.name, span)
 	}
 	a.upstream.Break(standin.UpstreamFault{Status: http.StatusBadGateway})
@@ -220,33 +220,33 @@
 // resendCases are schedules of one fault, one after the other, that each run plays.
 var resendCases = []struct {
 	name  string
-	fault func(s *set, rng *rand.Rand) string
+	fault func(s *cluster, rng *rand.Rand) string
 }{
-	{"cut_off", func(s *set, rng *rand.Rand) string {
+	{"cut_off", func(s *cluster, rng *rand.Rand) string {
 		e := s.entries[rng.IntN(len(s.entries))]
 		s.cutOff(e, 2600*time.Millisecond)
 		return "cut " + e.name + " off"
 	}},
-	{"frozen", func(s *set, rng *rand.Rand) string {
+	{"frozen", func(s *cluster, rng *rand.Rand) string {
 		e := s.entries[rng.IntN(len(s.entries))]
-		s.freeze(e, 2600*time.Millisecond)
+		s.suspend(e, 2600*time.Millisecond)
 		return "freeze " + e.name
 	}},
-	{"callers_cut_off", func(s *set, rng *rand.Rand) string {
+	{"callers_cut_off", func(s *cluster, rng *rand.Rand) string {
 		e := s.entries[rng.IntN(len(s.entries))]
 		s.cutCallersOff(e, 1600*time.Millisecond)
 		return "cut " + e.name + " off from callers"
 	}},
-	{"callers_cut_one_way", func(s *set, rng *rand.Rand) string {
+	{"callers_cut_one_way", func(s *cluster, rng *rand.Rand) string {
 		e := s.entries[rng.IntN(len(s.entries))]
-		e.front.set(0, true, false)
-		time.AfterFunc(2600*time.Millisecond, func() { e.front.set(0, false, false) })
+		e.front.setFault(0, true, false)
+		time.AfterFunc(2600*time.Millisecond, func() { e.front.setFault(0, false, false) })
 		return "cut what callers send to " + e.name
 	}},
 }
 
 // caseEvery is the pause between two faults of a case.
-const caseEvery = 6 * time.Second
+const caseInterval = 6 * time.Second
 
 // TestResentJobs guards against tasks that two entries run at once: callers that break off or lose their connections at their own
 // side send their jobs to other entries, while their first entries stand still or are cut off.
@@ -255,9 +255,9 @@
 	for _, test := range resendCases {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			resends(t, binary, resendRun{
-				seed: *soakSeed, entries: 3, agents: 8, rate: 45, share: 1, length: 3 * caseEvery,
-				fault: test.fault, every: func(*rand.Rand) time.Duration { return caseEvery },
+			runResends(t, binary, resendRun{
+				seed: *soakSeed, entries: 3, agents: 8, rate: 45, share: 1, length: 3 * caseInterval,
+				fault: test.fault, every: func(*rand.Rand) time.Duration { return caseInterval },
 			})
 		})
 	}
@@ -273,16 +273,16 @@
 	for i := range *soakSeeds {
 		seed := *soakSeed + uint64(i)
 		t.Run(fmt.Sprintf("seed_%d", seed), func(t *testing.T) {
-			resends(t, binary, resendRun{
+			runResends(t, binary, resendRun{
 				seed: seed, entries: *resendEntries, agents: *resendAgents, rate: *resendRate, share: *resendShare, length: *soakFor,
-				fault: (*set).entryFault, every: func(rng *rand.Rand) time.Duration { return time.Duration(rng.Int64N(int64(2 * entryFaultEvery))) },
+				fault: (*cluster).injectEntryFault, every: func(rng *rand.Rand) time.Duration { return time.Duration(rng.Int64N(int64(2 * entryFaultInterval))) },
 			})
 		})
 	}
 }
 
 // callFaultEvery is the mean pause between two faults of calls.
-const callFaultEvery = 250 * time.Millisecond
+const callFaultInterval = 250 * time.Millisecond
 
 // TestLateCalls guards against tasks that run at two upstreams because a run was told as not there while a call that starts it was still
 // on its way: calls are read late and in any order, by agents that get a part of a core.
@@ -291,9 +291,9 @@
 	for i := range *soakSeeds {
 		seed := *soakSeed + uint64(i)
 		t.Run(fmt.Sprintf("seed_%d", seed), func(t *testing.T) {
-			resends(t, binary, resendRun{
+			runResends(t, binary, resendRun{
 				seed: seed, entries: 2, agents: 8, rate: 60, share: *callsShare, length: *callsFor,
-				fault: (*set).callFault, every: func(rng *rand.Rand) time.Duration { return time.Duration(rng.Int64N(int64(2 * callFaultEvery))) },
+				fault: (*cluster).injectCallFault, every: func(rng *rand.Rand) time.Duration { return time.Duration(rng.Int64N(int64(2 * callFaultInterval))) },
 			})
 		})
 	}
@@ -314,25 +314,25 @@
 	// rate is how many jobs come a second, for length; share is the share of a core that agents get, entries twice that.
 	rate, share float64
 	length      time.Duration
-	fault       func(*set, *rand.Rand) string
+	fault       func(*cluster, *rand.Rand) string
 	// every draws the pause between two faults.
 	every func(*rand.Rand) time.Duration
 }
 
 // resends plays one run.
-func resends(t *testing.T, binary string, r resendRun) {
+func runResends(t *testing.T, binary string, r resendRun) {
 	s := newSet(t, binary, r.seed, r.entries, r.agents)
 	defer s.stop()
 	until := time.Now().Add(30 * time.Second)
-	for why := calm(s, 1); why != ""; why = calm(s, 1) {
+	for why := probeIdle(s, 1); why != ""; why = probeIdle(s, 1) {
 		if time.Now().After(until) {
-			s.keep(r.seed, why)
+			s.saveDiagnostics(r.seed, why)
 			t.Fatalf("seed %d: the set does not come up: %s", r.seed, why)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s.holdAllBack(ctx, r.share)
+	s.throttleAll(ctx, r.share)
 	c := newCallers(s)
 	traffic, faults := rand.New(rand.NewPCG(r.seed, 9)), rand.New(rand.NewPCG(r.seed, 10))
 	end, nextFault := time.Now().Add(r.length), time.Now().Add(time.Second)
@@ -347,10 +347,10 @@
 		c.submitImpatient(traffic)
 	}
 	c.wait.Wait()
-	problems := append(s.ledger.Broken(), c.check()...)
+	problems := append(s.ledger.Broken(), c.checkAnswers()...)
 	t.Logf("seed %d: %d jobs, %v, faults: %s", r.seed, len(c.jobs), c.counts(), strings.Join(log, "; "))
 	if len(problems) > 0 {
-		s.keep(r.seed, problems...)
+		s.saveDiagnostics(r.seed, problems...)
 		t.Errorf("seed %d: %d problems: %s", r.seed, len(problems), strings.Join(problems, "\n"))
 	}
 }
--- a/internal/proof/soak/set_test.go
+++ b/internal/proof/soak/set_test.go
@@ -45,16 +45,16 @@
 	done chan struct{}
 	// link, front and store are proxies, and so are calls and beats, to the upstream and from it. Entries have the first three,
 	// agents the last three.
-	link, front, store, calls, beats *proxy
-	upstream                         *standin.Upstream
+	link, front, store, calls, heartbeats *proxy
+	upstream                              *standin.Upstream
 	// frozen is true while it is stopped for longer than a slice.
-	frozen atomic.Bool
+	suspended atomic.Bool
 	// cut is true while it is cut off, and until what callers have sent meanwhile has arrived.
-	cut atomic.Bool
+	cutOff atomic.Bool
 }
 
 // paths are the kinds of connections.
-var paths = []struct {
+var connKinds = []struct {
 	name string
 	of   func(p *process) *proxy
 }{
@@ -62,54 +62,54 @@
 	{"callers", func(p *process) *proxy { return p.front }},
 	{"store", func(p *process) *proxy { return p.store }},
 	{"upstream", func(p *process) *proxy { return p.calls }},
-	{"heartbeats", func(p *process) *proxy { return p.beats }},
+	{"heartbeats", func(p *process) *proxy { return p.heartbeats }},
 }
 
 // set is a set of processes with one seed.
-type set struct {
+type cluster struct {
 	t      *testing.T
 	dir    string
 	binary string
 	// net is the second part of the set's IP numbers, so that sets can run side by side, of other runs too.
-	net    int
+	subnet int
 	rng    *rand.Rand
 	store  *standin.Store
 	ledger *standin.Ledger
 
-	mu      sync.Mutex
-	entries []*process
-	agents  []*process
-	version int
-	closers []func()
-	ended   bool
+	mu            sync.Mutex
+	entries       []*process
+	agents        []*process
+	configVersion int
+	closers       []func()
+	ended         bool
 }
 
-func (s *set) ip(kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", s.net, kind, n+1) }
+func (s *cluster) ip(kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", s.subnet, kind, n+1) }
 
-func at(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
+func hostPort(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 
 // firstNet and lastNet bound the second part of a set's IP numbers.
-const firstNet, lastNet = 10, 250
+const firstSubnet, lastSubnet = 10, 250
 
 // claim takes the first net that no set has, of this run or another: a set holds its store's address to its end. Processes may be left
 // of a run that ended without stopping them; they would take the place of the set's own, so their net is passed over.
-func (s *set) claim(entries, agents int) net.Listener {
-	for s.net = firstNet; s.net <= lastNet; s.net++ {
-		ln, err := net.Listen("tcp", at(s.ip(0, 0), portStore))
+func (s *cluster) reserveSubnet(entries, agents int) net.Listener {
+	for s.subnet = firstSubnet; s.subnet <= lastSubnet; s.subnet++ {
+		ln, err := net.Listen("tcp", hostPort(s.ip(0, 0), portStore))
 		if err == nil {
-			if err = s.vacant(entries, agents); err == nil {
+			if err = s.checkAddressesFree(entries, agents); err == nil {
 				return ln
 			}
 			ln.Close()
 		}
-		s.t.Logf("net %d is taken: %v", s.net, err)
+		s.t.Logf("net %d is taken: %v", s.subnet, err)
 	}
 	s.t.Fatal("no net is free")
 	return nil
 }
 
 // vacant returns an error if a process has the address of one of the set's.
-func (s *set) vacant(entries, agents int) error {
+func (s *cluster) checkAddressesFree(entries, agents int) error {
 	var ips []string
 	for i := range entries {
 		ips = append(ips, s.ip(1, i))
@@ -118,7 +118,7 @@
 		ips = append(ips, s.ip(2, i))
 	}
 	for _, ip := range ips {
-		ln, err := net.Listen("tcp", at(ip, portMetrics))
+		ln, err := net.Listen("tcp", hostPort(ip, portMetrics))
 		if err != nil {
 			return err
 		}
@@ -128,32 +128,32 @@
 }
 
 // listen opens an address of the set's net.
-func (s *set) listen(address string) net.Listener {
+func (s *cluster) listen(address string) net.Listener {
 	ln, err := net.Listen("tcp", address)
 	qt.Assert(s.t, err, qt.IsNil)
 	return ln
 }
 
 // serve runs an HTTP server of the test's own.
-func (s *set) serve(ln net.Listener, h http.Handler) {
+func (s *cluster) serve(ln net.Listener, h http.Handler) {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	go server.Serve(ln)
 	s.closers = append(s.closers, func() { server.Close() })
 }
 
-func (s *set) proxy(address, to string) *proxy {
+func (s *cluster) addProxy(address, to string) *proxy {
 	p, err := newProxy(address, to)
 	qt.Assert(s.t, err, qt.IsNil)
 	s.closers = append(s.closers, p.close)
 	return p
 }
 
-func newSet(t *testing.T, binary string, seed uint64, entries, agents int) *set {
-	s := &set{
+func newSet(t *testing.T, binary string, seed uint64, entries, agents int) *cluster {
+	s := &cluster{
 		t: t, dir: t.TempDir(), binary: binary, rng: rand.New(rand.NewPCG(seed, 2)),
 		store: standin.NewStore(), ledger: standin.NewLedger(),
 	}
-	s.serve(s.claim(entries, agents), s.store.Handler())
+	s.serve(s.reserveSubnet(entries, agents), s.store.Handler())
 	s.configure()
 	for i := range entries {
 		s.addEntry(i)
@@ -165,38 +165,38 @@
 }
 
 // configure puts a new version of the routes into the store.
-func (s *set) configure() {
-	s.version++
-	raw, err := standin.Routes(uint64(s.version), "publish", 4, 2*time.Second)
+func (s *cluster) configure() {
+	s.configVersion++
+	raw, err := standin.Routes(uint64(s.configVersion), "publish", 4, 2*time.Second)
 	qt.Assert(s.t, err, qt.IsNil)
 	s.store.Put(string(platform.ConfigKey.Table), platform.ConfigKey.Name, raw)
 }
 
-func (s *set) addEntry(i int) {
+func (s *cluster) addEntry(i int) {
 	ip := s.ip(1, i)
-	p := &process{name: fmt.Sprintf("entry-%d", i), role: "entry", zone: zoneOf(i), metrics: at(ip, portMetrics), args: []string{"entry"}}
-	p.store = s.proxy(at(s.ip(3, i), portStore), at(s.ip(0, 0), portStore))
-	p.link = s.proxy(at(ip, portLinkProxy), at(ip, portLink))
-	p.front = s.proxy(at(s.ip(5, i), portFront), at(ip, portFront))
-	s.write(p, fmt.Sprintf("[node]\nname = %s\nzone = %s\nlink = %s\nadvertise = %s\nmetrics = %s\n[entry]\nfront = %s\nunready = 300ms\noperator_tokens = soak/read/%s\n[platform]\nstore = %s\n",
-		p.name, p.zone, at(ip, portLink), p.link.address(), at(ip, portMetrics), at(ip, portFront), readToken, p.store.address()))
+	p := &process{name: fmt.Sprintf("entry-%d", i), role: "entry", zone: zoneOf(i), metrics: hostPort(ip, portMetrics), args: []string{"entry"}}
+	p.store = s.addProxy(hostPort(s.ip(3, i), portStore), hostPort(s.ip(0, 0), portStore))
+	p.link = s.addProxy(hostPort(ip, portLinkProxy), hostPort(ip, portLink))
+	p.front = s.addProxy(hostPort(s.ip(5, i), portFront), hostPort(ip, portFront))
+	s.writeSettings(p, fmt.Sprintf("[node]\nname = %s\nzone = %s\nlink = %s\nadvertise = %s\nmetrics = %s\n[entry]\nfront = %s\nunready = 300ms\noperator_tokens = soak/read/%s\n[platform]\nstore = %s\n",
+		p.name, p.zone, hostPort(ip, portLink), p.link.address(), hostPort(ip, portMetrics), hostPort(ip, portFront), readToken, p.store.address()))
 	s.entries = append(s.entries, p)
 	s.start(p)
 }
 
-func (s *set) addAgent(i int) {
+func (s *cluster) addAgent(i int) {
 	ip := s.ip(2, i)
-	p := &process{name: fmt.Sprintf("agent-%d", i), role: "agent", zone: zoneOf(i), metrics: at(ip, portMetrics), args: []string{"agent"}}
-	p.store = s.proxy(at(s.ip(4, i), portStore), at(s.ip(0, 0), portStore))
-	p.calls = s.proxy(at(s.ip(6, i), portUpstream), at(ip, portUpstream))
-	p.beats = s.proxy(at(s.ip(7, i), portControl), at(ip, portControl))
+	p := &process{name: fmt.Sprintf("agent-%d", i), role: "agent", zone: zoneOf(i), metrics: hostPort(ip, portMetrics), args: []string{"agent"}}
+	p.store = s.addProxy(hostPort(s.ip(4, i), portStore), hostPort(s.ip(0, 0), portStore))
+	p.calls = s.addProxy(hostPort(s.ip(6, i), portUpstream), hostPort(ip, portUpstream))
+	p.heartbeats = s.addProxy(hostPort(s.ip(7, i), portControl), hostPort(ip, portControl))
 	p.upstream = standin.NewUpstream(standin.UpstreamOptions{
-		Name: upstreamName(i), Service: "publish", Agent: p.beats.address(), CPU: upstreamCPU, MemMB: 1000, Beat: 300 * time.Millisecond, Ledger: s.ledger,
+		Name: upstreamName(i), Service: "publish", Agent: p.heartbeats.address(), CPU: upstreamCPU, MemMB: 1000, Beat: 300 * time.Millisecond, Ledger: s.ledger,
 	})
 	s.closers = append(s.closers, p.upstream.Close)
-	s.serve(s.listen(at(ip, portUpstream)), p.upstream.Handler())
-	s.write(p, fmt.Sprintf("[node]\nname = %s\nzone = %s\nlink = %s\nmetrics = %s\n[agent]\nupstream = %s\ncontrol = %s\n[platform]\nstore = %s\n",
-		p.name, p.zone, at(ip, portLinkProxy), at(ip, portMetrics), p.calls.address(), at(ip, portControl), p.store.address()))
+	s.serve(s.listen(hostPort(ip, portUpstream)), p.upstream.Handler())
+	s.writeSettings(p, fmt.Sprintf("[node]\nname = %s\nzone = %s\nlink = %s\nmetrics = %s\n[agent]\nupstream = %s\ncontrol = %s\n[platform]\nstore = %s\n",
+		p.name, p.zone, hostPort(ip, portLinkProxy), hostPort(ip, portMetrics), p.calls.address(), hostPort(ip, portControl), p.store.address()))
 	s.agents = append(s.agents, p)
 	s.start(p)
 }
@@ -213,14 +213,14 @@
 func upstreamName(i int) string { return fmt.Sprintf("u%d", i) }
 
 // processes are all entries and agents.
-func (s *set) processes() []*process { return append(slices.Clone(s.entries), s.agents...) }
+func (s *cluster) processes() []*process { return append(slices.Clone(s.entries), s.agents...) }
 
-func (s *set) write(p *process, ini string) {
+func (s *cluster) writeSettings(p *process, ini string) {
 	qt.Assert(s.t, os.WriteFile(filepath.Join(s.dir, p.name+".ini"), []byte(ini), 0o600), qt.IsNil)
 }
 
 // start starts a process unless the set has ended.
-func (s *set) start(p *process) {
+func (s *cluster) start(p *process) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended || p.cmd != nil {
@@ -253,7 +253,7 @@
 }
 
 // signal sends a signal to a process of this set, by its id.
-func (s *set) signal(p *process, sig syscall.Signal) {
+func (s *cluster) signal(p *process, sig syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p.cmd != nil {
@@ -262,7 +262,7 @@
 }
 
 // restart ends a process by a signal and starts it again after a while, as the platform does.
-func (s *set) restart(p *process, sig syscall.Signal, down time.Duration) {
+func (s *cluster) restart(p *process, sig syscall.Signal, down time.Duration) {
 	s.signal(p, sig)
 	go func() {
 		time.Sleep(down)
@@ -279,7 +279,7 @@
 	}()
 }
 
-func (s *set) stop() {
+func (s *cluster) stop() {
 	s.mu.Lock()
 	s.ended = true
 	var running []chan struct{}
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	soakSeed   = flag.Uint64("soak-seed", 1, "the first seed")
-	soakSeeds  = flag.Int("soak-seeds", 1, "how many seeds to run")
-	soakFor    = flag.Duration("soak-for", 5*time.Second, "how long faults go on, for each seed")
-	soakSize   = flag.Int("soak-agents", 4, "how many agents a set has; there are half as many entries")
-	soakAside  = flag.Int("soak-parallel", 2, "how many seeds run side by side")
-	soakKeepIn = flag.String("soak-keep", "", "keep the logs of seeds that fail in this directory")
+	soakSeed     = flag.Uint64("soak-seed", 1, "the first seed")
+	soakSeeds    = flag.Int("soak-seeds", 1, "how many seeds to run")
+	soakFor      = flag.Duration("soak-for", 5*time.Second, "how long faults go on, for each seed")
+	soakAgents   = flag.Int("soak-agents", 4, "how many agents a set has; there are half as many entries")
+	soakParallel = flag.Int("soak-parallel", 2, "how many seeds run side by side")
+	soakKeepDir  = flag.String("soak-keep", "", "keep the logs of seeds that fail in this directory")
 )
 
 // regressions are seeds that have failed once, with the cause. Silences have a generator of their own, so that the other faults
@@ -44,7 +44,7 @@
 	for i := range *soakSeeds {
 		seeds = append(seeds, *soakSeed+uint64(i))
 	}
-	room := make(chan struct{}, *soakAside)
+	room := make(chan struct{}, *soakParallel)
 	var group sync.WaitGroup
 	for _, seed := range seeds {
 		room <- struct{}{}
@@ -58,74 +58,74 @@
 
 const (
 	// settle is how long a set has to come to rest after its faults: the longest patience, attempts and pauses.
-	settle = 25 * time.Second
+	settleTimeout = 25 * time.Second
 	// jobEvery is the mean pause between two jobs.
-	jobEvery = 30 * time.Millisecond
+	jobInterval = 30 * time.Millisecond
 	// silenceEvery is the mean pause between two silences.
-	silenceEvery = time.Second
+	silenceInterval = time.Second
 	// lifeEvery is the mean pause between two upstreams that start again under their ids.
-	lifeEvery = 700 * time.Millisecond
+	restartInterval = 700 * time.Millisecond
 	// roomEvery is the mean pause between two changes of an upstream's room.
-	roomEvery = 2 * time.Second
+	resizeInterval = 2 * time.Second
 	// undisturbed: in one seed of so many no process and no connection is disturbed, so that agents are held to how often they start a task
 	// that crashes upstreams.
-	undisturbed = 5
+	undisturbedOneIn = 5
 )
 
 // soak runs one seed.
 func soak(t *testing.T, binary string, seed uint64) {
-	s := newSet(t, binary, seed, max(*soakSize/2, 2), *soakSize)
+	s := newSet(t, binary, seed, max(*soakAgents/2, 2), *soakAgents)
 	defer s.stop()
 	c := newCallers(s)
 	until := time.Now().Add(20 * time.Second)
-	for calm(s, 1) != "" {
+	for probeIdle(s, 1) != "" {
 		if time.Now().After(until) {
-			s.keep(seed, "the set does not come up")
-			t.Fatalf("seed %d: the set does not come up: %s", seed, calm(s, 1))
+			s.saveDiagnostics(seed, "the set does not come up")
+			t.Fatalf("seed %d: the set does not come up: %s", seed, probeIdle(s, 1))
 		}
 	}
 	traffic, faults, silences := rand.New(rand.NewPCG(seed, 3)), rand.New(rand.NewPCG(seed, 4)), rand.New(rand.NewPCG(seed, 5))
 	rooms := rand.New(rand.NewPCG(seed, 8))
 	lives, operators := rand.New(rand.NewPCG(seed, 6)), rand.New(rand.NewPCG(seed, 7))
 	end := time.Now().Add(*soakFor)
-	nextFault, nextSilence, nextLife, nextCordon := time.Now(), time.Now().Add(silenceEvery), time.Now(), time.Now().Add(cordonEvery)
-	nextRoom, disturbs := time.Now(), seed%undisturbed != 0
+	nextFault, nextSilence, nextLife, nextCordon := time.Now(), time.Now().Add(silenceInterval), time.Now(), time.Now().Add(cordonInterval)
+	nextRoom, disturbs := time.Now(), seed%undisturbedOneIn != 0
 	var log []string
 	for time.Now().Before(end) {
 		if disturbs && time.Now().After(nextFault) {
-			log = append(log, s.fault(faults))
+			log = append(log, s.injectFault(faults))
 			nextFault = time.Now().Add(time.Duration(faults.Int64N(int64(800 * time.Millisecond))))
 		}
 		if disturbs && time.Now().After(nextSilence) {
-			log = append(log, s.silence(silences))
-			nextSilence = time.Now().Add(time.Duration(silences.Int64N(int64(2 * silenceEvery))))
+			log = append(log, s.silenceConns(silences))
+			nextSilence = time.Now().Add(time.Duration(silences.Int64N(int64(2 * silenceInterval))))
 		}
 		if disturbs && time.Now().After(nextLife) {
-			log = append(log, s.life(lives))
-			nextLife = time.Now().Add(time.Duration(lives.Int64N(int64(2 * lifeEvery))))
+			log = append(log, s.injectRestart(lives))
+			nextLife = time.Now().Add(time.Duration(lives.Int64N(int64(2 * restartInterval))))
 		}
 		if time.Now().After(nextCordon) {
-			log = append(log, s.evacuate(operators))
-			nextCordon = time.Now().Add(time.Duration(operators.Int64N(int64(2 * cordonEvery))))
+			log = append(log, s.changeEvacuations(operators))
+			nextCordon = time.Now().Add(time.Duration(operators.Int64N(int64(2 * cordonInterval))))
 		}
 		if time.Now().After(nextRoom) {
-			log = append(log, s.resize(rooms))
-			nextRoom = time.Now().Add(time.Duration(rooms.Int64N(int64(2 * roomEvery))))
+			log = append(log, s.resizeUpstream(rooms))
+			nextRoom = time.Now().Add(time.Duration(rooms.Int64N(int64(2 * resizeInterval))))
 		}
 		leave := time.Duration(0)
 		if traffic.IntN(20) == 0 {
 			leave = time.Duration(10+traffic.IntN(300)) * time.Millisecond
 		}
 		c.submit(traffic, time.Duration(1500+traffic.IntN(3000))*time.Millisecond, leave)
-		time.Sleep(time.Duration(traffic.Int64N(int64(2 * jobEvery))))
+		time.Sleep(time.Duration(traffic.Int64N(int64(2 * jobInterval))))
 	}
-	left := s.leaveOneZone(operators)
+	left := s.leaveOneZoneEvacuated(operators)
 	c.wait.Wait()
-	problems := append(s.ledger.Broken(), c.check()...)
-	rest := time.Now().Add(settle)
+	problems := append(s.ledger.Broken(), c.checkAnswers()...)
+	rest := time.Now().Add(settleTimeout)
 	problems = append(problems, c.checkKept(rest)...)
 	for why := "?"; why != ""; {
-		if why = calm(s, 10); why != "" && time.Now().After(rest) {
+		if why = probeIdle(s, 10); why != "" && time.Now().After(rest) {
 			problems = append(problems, "does not come to rest: "+why)
 			break
 		}
@@ -137,13 +137,13 @@
 	}
 	t.Logf("seed %d: %v, faults: %s", seed, c.counts(), strings.Join(log, "; "))
 	if len(problems) > 0 {
-		s.keep(seed, problems...)
+		s.saveDiagnostics(seed, problems...)
 		t.Errorf("seed %d: %s", seed, strings.Join(problems, "\n"))
 	}
 }
 
 // calm sends jobs one after the other and says what keeps one from completing, or what still runs afterwards.
-func calm(s *set, n int) string {
+func probeIdle(s *cluster, n int) string {
 	c := newCallers(s)
 	for i := range n {
 		j := &job{id: fmt.Sprintf("%016x", rand.Uint64()), tasks: 1, runMs: 20}
@@ -162,18 +162,18 @@
 
 // silence makes open connections silent for good: those of one kind or of all, of one process or of all. Or it lets heartbeats
 // arrive late.
-func (s *set) silence(rng *rand.Rand) string {
+func (s *cluster) silenceConns(rng *rand.Rand) string {
 	if rng.IntN(8) == 0 {
-		return s.lateBeats(s.agents[rng.IntN(len(s.agents))], time.Duration(100+rng.IntN(1500))*time.Millisecond)
+		return s.delayHeartbeats(s.agents[rng.IntN(len(s.agents))], time.Duration(100+rng.IntN(1500))*time.Millisecond)
 	}
 	of, whose := s.processes(), "all"
 	if rng.IntN(3) > 0 {
 		p := of[rng.IntN(len(of))]
 		of, whose = []*process{p}, p.name
 	}
-	kinds, what := paths, "all connections"
-	if i := rng.IntN(len(paths) + 1); i < len(paths) {
-		kinds, what = paths[i:i+1], paths[i].name
+	kinds, what := connKinds, "all connections"
+	if i := rng.IntN(len(connKinds) + 1); i < len(connKinds) {
+		kinds, what = connKinds[i:i+1], connKinds[i].name
 	}
 	for _, p := range of {
 		for _, kind := range kinds {
@@ -191,15 +191,15 @@
 
 // lateBeats holds heartbeats up for a while, during which the upstream crashes: those of both lives arrive together afterwards, in
 // any order.
-func (s *set) lateBeats(a *process, span time.Duration) string {
-	a.beats.set(0, true, false)
+func (s *cluster) delayHeartbeats(a *process, span time.Duration) string {
+	a.heartbeats.setFault(0, true, false)
 	time.AfterFunc(span/2, a.upstream.Crash)
-	time.AfterFunc(span, func() { a.beats.set(0, false, false) })
+	time.AfterFunc(span, func() { a.heartbeats.setFault(0, false, false) })
 	return fmt.Sprintf("heartbeats of %s are %v late, and its upstream crashes meanwhile", a.name, span)
 }
 
 // life lets an upstream start again under its id, at once or later, or leave and come back, or lets another writer send heartbeats.
-func (s *set) life(rng *rand.Rand) string {
+func (s *cluster) injectRestart(rng *rand.Rand) string {
 	a := s.agents[rng.IntN(len(s.agents))]
 	down := time.Duration(rng.IntN(800)) * time.Millisecond
 	switch rng.IntN(8) {
@@ -229,7 +229,7 @@
 }
 
 // resize gives an upstream another room, and after a while its own again.
-func (s *set) resize(rng *rand.Rand) string {
+func (s *cluster) resizeUpstream(rng *rand.Rand) string {
 	a, cpu := s.agents[rng.IntN(len(s.agents))], int64(rng.IntN(4))*1000
 	span := time.Duration(300+rng.IntN(2500)) * time.Millisecond
 	a.upstream.Resize(cpu)
@@ -238,7 +238,7 @@
 }
 
 // fault lets one thing go wrong, and lets it end by itself.
-func (s *set) fault(rng *rand.Rand) string {
+func (s *cluster) injectFault(rng *rand.Rand) string {
 	e, a := s.entries[rng.IntN(len(s.entries))], s.agents[rng.IntN(len(s.agents))]
 	any := e
 	if rng.IntN(2) == 0 {
@@ -260,12 +260,12 @@
 		later(func() { s.signal(any, syscall.SIGCONT) })
 		return fmt.Sprintf("freeze %s %v", any.name, span)
 	case 5:
-		e.link.set(0, one || !other, other || !one)
-		later(func() { e.link.set(0, false, false) })
+		e.link.setFault(0, one || !other, other || !one)
+		later(func() { e.link.setFault(0, false, false) })
 		return fmt.Sprintf("cut %s from agents %v (%v %v)", e.name, span, one || !other, other || !one)
 	case 6:
-		e.link.set(span/4, false, false)
-		later(func() { e.link.set(0, false, false) })
+		e.link.setFault(span/4, false, false)
+		later(func() { e.link.setFault(0, false, false) })
 		return fmt.Sprintf("slow links of %s by %v", e.name, span/4)
 	case 7:
 		e.link.resetAll()
@@ -274,8 +274,8 @@
 		e.front.resetAll()
 		return "reset callers of " + e.name
 	case 9:
-		any.store.set(0, true, one)
-		later(func() { any.store.set(0, false, false) })
+		any.store.setFault(0, true, one)
+		later(func() { any.store.setFault(0, false, false) })
 		return fmt.Sprintf("cut %s from the store %v", any.name, span)
 	case 10:
 		f := []standin.Fault{{Silent: true}, {Busy: true}, {Lost: true}, {Slow: 300 * time.Millisecond}}[rng.IntN(4)]
--- a/internal/standin/embedded/await_test.go
+++ b/internal/standin/embedded/await_test.go
@@ -19,10 +19,10 @@
 		want   bool
 	}{
 		{"from the first look on", always, time.Second, true},
-		{"never", func(int) bool { return false }, 2 * staysUp, false},
-		{"now and then", func(look int) bool { return look%4 != 0 }, 3 * staysUp, false},
+		{"never", func(int) bool { return false }, 2 * stablePeriod, false},
+		{"now and then", func(look int) bool { return look%4 != 0 }, 3 * stablePeriod, false},
 		{"once early, then for good", func(look int) bool { return look == 1 || look > 5 }, 2 * time.Second, true},
-		{"too late to tell", always, staysUp / 2, false},
+		{"too late to tell", always, stablePeriod / 2, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			looks := 0
@@ -37,7 +37,7 @@
 			}, time.Now().Add(test.limit))
 			qt.Assert(t, got, qt.Equals, test.want)
 			if got {
-				qt.Assert(t, time.Since(lastMissing) >= staysUp, qt.IsTrue)
+				qt.Assert(t, time.Since(lastMissing) >= stablePeriod, qt.IsTrue)
 			}
 		})
 	}
--- a/internal/standin/embedded/config_test.go
+++ b/internal/standin/embedded/config_test.go
@@ -51,7 +51,7 @@
 }
 
 // objects returns how many objects an entry lists.
-func objects(t *testing.T, set *embedded.Set, entry int) int {
+func objects(t *testing.T, set *embedded.Cluster, entry int) int {
 	_, out := operate(t, set.Entries[entry].Metrics.Address(), embedded.Token, "GET", "/v1/config", "", "")
 	return len(out["objects"].([]any))
 }
--- a/internal/standin/embedded/cordon_test.go
+++ b/internal/standin/embedded/cordon_test.go
@@ -17,7 +17,7 @@
 // An embedded set of three agents has one in each of zone-1, zone-2 and zone-3; the first agent's is zone-1.
 
 // cordonedEverywhere waits until all entries know which zones are cordoned.
-func cordonedEverywhere(t *testing.T, set *embedded.Set, zones int) {
+func cordonedEverywhere(t *testing.T, set *embedded.Cluster, zones int) {
 	for _, e := range set.Entries {
 		eventually(t, "the cordons at every entry", func() bool {
 			n := 0
@@ -33,7 +33,7 @@
 }
 
 // startedAt returns at which upstreams jobs that are sent now start.
-func startedAt(t *testing.T, set *embedded.Set) [3]bool {
+func startedAt(t *testing.T, set *embedded.Cluster) [3]bool {
 	var before [3]int
 	for i := range before {
 		before[i] = set.Ledger.StartsAt(i)
@@ -58,48 +58,48 @@
 func TestZoneIsEvacuated(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		begin func(t *testing.T, set *embedded.Set)
-		end   func(t *testing.T, set *embedded.Set)
+		begin func(t *testing.T, set *embedded.Cluster)
+		end   func(t *testing.T, set *embedded.Cluster)
 	}{
 		{"by the platform's operator",
-			func(_ *testing.T, set *embedded.Set) { set.Store.Evacuate("zone-1") },
-			func(_ *testing.T, set *embedded.Set) { set.Store.TakeBack("zone-1") }},
-		{"by an object", func(t *testing.T, set *embedded.Set) {
+			func(_ *testing.T, set *embedded.Cluster) { set.Store.Evacuate("zone-1") },
+			func(_ *testing.T, set *embedded.Cluster) { set.Store.TakeBack("zone-1") }},
+		{"by an object", func(t *testing.T, set *embedded.Cluster) {
 			status, out := operate(t, set.Entries[1].Metrics.Address(), embedded.Token, "PUT", "/v1/config/zone/zone-1", "new", `{"cordoned":true}`)
 			qt.Assert(t, status, qt.Equals, 200, qt.Commentf("%v", out))
-		}, func(t *testing.T, set *embedded.Set) {
+		}, func(t *testing.T, set *embedded.Cluster) {
 			status, out := operate(t, set.Entries[0].Metrics.Address(), embedded.Token, "DELETE", "/v1/config/zone/zone-1", "1", "")
 			qt.Assert(t, status, qt.Equals, 200, qt.Commentf("%v", out))
 		}},
-		{"asked for, taken back and asked for again", func(_ *testing.T, set *embedded.Set) {
+		{"asked for, taken back and asked for again", func(_ *testing.T, set *embedded.Cluster) {
 			set.Store.Evacuate("zone-1")
 			set.Store.TakeBack("zone-1")
 			set.Store.Evacuate("zone-1")
-		}, func(_ *testing.T, set *embedded.Set) { set.Store.TakeBack("zone-1") }},
-		{"while the store has forgotten its history", func(_ *testing.T, set *embedded.Set) {
+		}, func(_ *testing.T, set *embedded.Cluster) { set.Store.TakeBack("zone-1") }},
+		{"while the store has forgotten its history", func(_ *testing.T, set *embedded.Cluster) {
 			set.Store.Evacuate("zone-1")
 			set.Store.Forget()
-		}, func(_ *testing.T, set *embedded.Set) {
+		}, func(_ *testing.T, set *embedded.Cluster) {
 			set.Store.TakeBack("zone-1")
 			set.Store.Forget()
 		}},
-		{"while the store was away", func(_ *testing.T, set *embedded.Set) {
+		{"while the store was away", func(_ *testing.T, set *embedded.Cluster) {
 			set.Store.Break(standin.Fault{Busy: true})
 			set.Store.Evacuate("zone-1")
 			time.Sleep(300 * time.Millisecond)
 			set.Store.Break(standin.Fault{})
-		}, func(_ *testing.T, set *embedded.Set) {
+		}, func(_ *testing.T, set *embedded.Cluster) {
 			set.Store.Break(standin.Fault{Busy: true})
 			set.Store.TakeBack("zone-1")
 			time.Sleep(300 * time.Millisecond)
 			set.Store.Break(standin.Fault{})
 		}},
-		{"beside rows of another writer", func(_ *testing.T, set *embedded.Set) {
+		{"beside rows of another writer", func(_ *testing.T, set *embedded.Cluster) {
 			set.Store.Put("op", "evacuate/", []byte("{}"))
 			set.Store.Put("op", "evacuate/zone-2", []byte("\xff"))
 			set.Store.Evacuate("zone-1")
 			set.Store.Put("hillreel_objects", "zone/zone-3", []byte("[]"))
-		}, func(_ *testing.T, set *embedded.Set) { set.Store.TakeBack("zone-1") }},
+		}, func(_ *testing.T, set *embedded.Cluster) { set.Store.TakeBack("zone-1") }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			set := start(t, 2, 3)
--- a/internal/standin/embedded/embedded.go
+++ b/internal/standin/embedded/embedded.go
@@ -39,53 +39,53 @@
 	// FixedPorts puts the first entry's APIs at the ports of hillreel.ini's examples: 7600 and 7500.
 	FixedPorts bool
 	// Unborn: upstreams do not tell when their lives began.
-	Unborn bool
+	OmitBorn bool
 	// Adjust changes the settings of a process before it starts; it may be nil.
 	Adjust func(role string, s *settings.Settings)
 	// Through returns the address under which others reach an address of the set: that of a proxy. It may be nil.
-	Through func(kind Path, address string) string
+	Proxy func(kind ConnKind, address string) string
 }
 
 // Path is a kind of connection.
-type Path string
+type ConnKind string
 
 // The kinds of connections inside a set.
 const (
-	PathStore    Path = "store"
-	PathLink     Path = "link"
-	PathUpstream Path = "upstream"
-	PathBeats    Path = "heartbeats"
+	ConnStore      ConnKind = "store"
+	ConnLink       ConnKind = "link"
+	ConnUpstream   ConnKind = "upstream"
+	ConnHeartbeats ConnKind = "heartbeats"
 )
 
 // through returns the address under which others reach an address of the set.
-func (s *Set) through(kind Path, address settings.Address) settings.Address {
-	if s.o.Through == nil {
+func (s *Cluster) proxied(kind ConnKind, address settings.Address) settings.Address {
+	if s.options.Proxy == nil {
 		return address
 	}
-	return settings.Address(s.o.Through(kind, string(address)))
+	return settings.Address(s.options.Proxy(kind, string(address)))
 }
 
 // Set is a running set.
-type Set struct {
-	o         Options
-	Store     *standin.Store
-	Ledger    *standin.Ledger
-	Entries   []*entry.Process
-	Agents    []*agent.Process
-	Upstreams []*standin.Upstream
-	store     *web.Server
-	stops     []func()
+type Cluster struct {
+	options     Options
+	Store       *standin.Store
+	Ledger      *standin.Ledger
+	Entries     []*entry.Process
+	Agents      []*agent.Process
+	Upstreams   []*standin.Upstream
+	storeServer *web.Server
+	stops       []func()
 }
 
 // fixed ports of the first entry of a set that is kept.
 const (
-	fixedCallers = 7600
-	fixedMetrics = 7500
+	fixedCallersPort = 7600
+	fixedMetricsPort = 7500
 )
 
 // Start starts a set and waits until every agent is linked to every entry and stays so.
-func Start(o Options) (*Set, error) {
-	s := &Set{o: o, Store: standin.NewStore(), Ledger: standin.NewLedger()}
+func Start(o Options) (*Cluster, error) {
+	s := &Cluster{options: o, Store: standin.NewStore(), Ledger: standin.NewLedger()}
 	if err := s.start(); err != nil {
 		s.Stop()
 		return nil, err
@@ -93,27 +93,27 @@
 	return s, nil
 }
 
-func (s *Set) start() error {
+func (s *Cluster) start() error {
 	s.Configure(1)
-	s.store = web.New("the store", freeAddress(), s.Store.Handler(), web.Internal)
-	if err := s.serve(s.store); err != nil {
+	s.storeServer = web.New("the store", newAddress(), s.Store.Handler(), web.Internal)
+	if err := s.serve(s.storeServer); err != nil {
 		return err
 	}
-	for i := range s.o.Entries {
-		if _, err := s.StartEntry(i, settings.Address(s.store.Address())); err != nil {
+	for i := range s.options.Entries {
+		if _, err := s.StartEntry(i, settings.Address(s.storeServer.Address())); err != nil {
 			return err
 		}
 	}
-	for i := range s.o.Agents {
+	for i := range s.options.Agents {
 		if err := s.StartAgent(i); err != nil {
 			return err
 		}
 	}
-	return s.await()
+	return s.awaitLinked()
 }
 
 // serve starts a server that ends with the set.
-func (s *Set) serve(w *web.Server) error {
+func (s *Cluster) serve(w *web.Server) error {
 	if err := w.Start(context.Background()); err != nil {
 		return err
 	}
@@ -122,8 +122,8 @@
 }
 
 // Configure puts a configuration with one queue, for the platform's clients, into the store.
-func (s *Set) Configure(version uint64) {
-	raw, err := standin.Routes(version, string(s.o.Service), 2, 100*time.Millisecond)
+func (s *Cluster) Configure(version uint64) {
+	raw, err := standin.Routes(version, string(s.options.Service), 2, 100*time.Millisecond)
 	if err != nil {
 		panic("embedded: " + err.Error()) // it is made of constants
 	}
@@ -131,7 +131,7 @@
 }
 
 // freeAddress draws an address for a server.
-func freeAddress() settings.Address {
+func newAddress() settings.Address {
 	return settings.Address(loopback.Draw(loopback.Embedded, embeddedPort))
 }
 
@@ -139,46 +139,46 @@
 const embeddedPort = 7400
 
 // settings returns a process's settings.
-func (s *Set) settings(role string, i int) (*settings.Settings, error) {
+func (s *Cluster) settings(role string, i int) (*settings.Settings, error) {
 	set, err := settings.Load("")
 	if err != nil {
 		return nil, err
 	}
 	set.Node.Name = fmt.Sprintf("%s-%d", role, i)
 	set.Node.Zone = fmt.Sprintf("zone-%d", 1+i%3)
-	set.Platform.Store = s.through(PathStore, settings.Address(s.store.Address()))
+	set.Platform.Store = s.proxied(ConnStore, settings.Address(s.storeServer.Address()))
 	set.Entry.OperatorToken = Token
 	for _, a := range []*settings.Address{&set.Node.Link, &set.Node.Metrics, &set.Entry.Callers, &set.Entry.Front, &set.Agent.Control, &set.Agent.Upstream} {
-		*a = freeAddress()
+		*a = newAddress()
 	}
-	if s.o.FixedPorts && role == "entry" && i == 0 {
-		set.Entry.Callers = settings.Address(fmt.Sprintf("127.0.0.1:%d", fixedCallers))
-		set.Node.Metrics = settings.Address(fmt.Sprintf("127.0.0.1:%d", fixedMetrics))
+	if s.options.FixedPorts && role == "entry" && i == 0 {
+		set.Entry.Callers = settings.Address(fmt.Sprintf("127.0.0.1:%d", fixedCallersPort))
+		set.Node.Metrics = settings.Address(fmt.Sprintf("127.0.0.1:%d", fixedMetricsPort))
 	}
-	if s.o.Adjust != nil {
-		s.o.Adjust(role, set)
+	if s.options.Adjust != nil {
+		s.options.Adjust(role, set)
 	}
 	return set, nil
 }
 
-func (s *Set) client(set *settings.Settings) *platform.Store {
+func (s *Cluster) storeClient(set *settings.Settings) *platform.Store {
 	return platform.NewStore(ident.Address(set.Platform.Store), set.Platform.Timeout)
 }
 
 // StartEntry starts one more entry, which finds the store at an address. Without a store, nobody learns of it but
 // the agents, which are told here.
-func (s *Set) StartEntry(i int, store settings.Address) (*entry.Process, error) {
+func (s *Cluster) StartEntry(i int, store settings.Address) (*entry.Process, error) {
 	set, err := s.settings("entry", i)
 	if err != nil {
 		return nil, err
 	}
-	if string(store) != s.store.Address() {
+	if string(store) != s.storeServer.Address() {
 		set.Platform.Store = store
 	}
-	set.Node.Advertise = s.through(PathLink, set.Node.Link)
-	log := s.o.Log.WithFields(logrus.Fields{"role": "entry", "node": set.Node.Name})
+	set.Node.Advertise = s.proxied(ConnLink, set.Node.Link)
+	log := s.options.Log.WithFields(logrus.Fields{"role": "entry", "node": set.Node.Name})
 	p, err := entry.New(set, entry.Deps{
-		Store: s.client(set), Config: platform.ConfigKey, Cordons: platform.Cordons, Decode: platform.ReadConfig, Log: log,
+		Store: s.storeClient(set), Config: platform.ConfigKey, Cordons: platform.Cordons, Decode: platform.ReadConfig, Log: log,
 		Front: func(n *node.Node) http.Handler { return platform.NewFront(n, int64(set.Entry.MaxBody), log) },
 	})
 	if err != nil {
@@ -188,7 +188,7 @@
 		return nil, err
 	}
 	s.Entries = append(s.Entries, p)
-	if string(store) != s.store.Address() {
+	if string(store) != s.storeServer.Address() {
 		for _, g := range s.Agents {
 			g.Node.SetEntries([]fleet.Entry{
 				{Address: ident.Address(s.Entries[0].Node.Address())}, {Address: ident.Address(p.Node.Address())},
@@ -199,26 +199,26 @@
 }
 
 // StartAgent starts an upstream and the agent beside it.
-func (s *Set) StartAgent(i int) error {
+func (s *Cluster) StartAgent(i int) error {
 	set, err := s.settings("agent", i)
 	if err != nil {
 		return err
 	}
-	log := s.o.Log.WithFields(logrus.Fields{"role": "agent", "node": set.Node.Name})
+	log := s.options.Log.WithFields(logrus.Fields{"role": "agent", "node": set.Node.Name})
 	u := standin.NewUpstream(standin.UpstreamOptions{
-		Name: fmt.Sprintf("upstream-%d", i), Service: string(s.o.Service), Agent: string(s.through(PathBeats, set.Agent.Control)),
-		CPU: s.o.Cores * 1000, MemMB: 64 << 10, Labels: []string{fmt.Sprintf("rack-%d", i/3)}, Beat: 200 * time.Millisecond,
-		Ledger: s.Ledger, Unborn: s.o.Unborn,
+		Name: fmt.Sprintf("upstream-%d", i), Service: string(s.options.Service), Agent: string(s.proxied(ConnHeartbeats, set.Agent.Control)),
+		CPU: s.options.Cores * 1000, MemMB: 64 << 10, Labels: []string{fmt.Sprintf("rack-%d", i/3)}, Beat: 200 * time.Millisecond,
+		Ledger: s.Ledger, Unborn: s.options.OmitBorn,
 	})
 	s.stops = append(s.stops, u.Close)
 	s.Upstreams = append(s.Upstreams, u)
 	if err := s.serve(web.New("the upstream", set.Agent.Upstream, u.Handler(), web.Internal)); err != nil {
 		return err
 	}
-	calls := platform.NewUpstream(ident.Address(s.through(PathUpstream, set.Agent.Upstream)), set.Agent.Connections, set.Agent.CallTimeout)
+	calls := platform.NewUpstream(ident.Address(s.proxied(ConnUpstream, set.Agent.Upstream)), set.Agent.Connections, set.Agent.CallTimeout)
 	p, err := agent.New(set, agent.Deps{
-		Store: s.client(set), Upstream: calls, Cordons: platform.Cordons, Dial: session.TCP, Log: log,
-		Heartbeats: func(n *agentnode.Node) http.Handler { return platform.Beats(n, s.o.Service, log) },
+		Store: s.storeClient(set), Upstream: calls, Cordons: platform.Cordons, Dial: session.TCP, Log: log,
+		Heartbeats: func(n *agentnode.Node) http.Handler { return platform.Beats(n, s.options.Service, log) },
 	})
 	if err != nil {
 		return err
@@ -231,19 +231,19 @@
 }
 
 // startLimit bounds the start of a set.
-const startLimit = 20 * time.Second
+const startTimeout = 20 * time.Second
 
 const (
 	// lookEvery is the pause between two looks at whether a set has come up.
-	lookEvery = 10 * time.Millisecond
+	pollInterval = 10 * time.Millisecond
 	// staysUp is for how long all looks must find a set linked. An entry counts a link that its agent has given up, or that
 	// has fallen silent, for up to 250 ms (Links.Quiet by default), and a set whose links move is looked at entry by entry.
-	staysUp = 300 * time.Millisecond
+	stablePeriod = 300 * time.Millisecond
 )
 
 // await waits until all agents are linked to all entries and have their upstreams, and stay so.
-func (s *Set) await() error {
-	if !staysLinked(s.linked, time.Now().Add(startLimit)) {
+func (s *Cluster) awaitLinked() error {
+	if !staysLinked(s.allLinked, time.Now().Add(startTimeout)) {
 		return errors.New("embedded: the set did not come up")
 	}
 	return nil
@@ -256,17 +256,17 @@
 		if !linked() {
 			since = time.Now()
 		}
-		if time.Since(since) >= staysUp {
+		if time.Since(since) >= stablePeriod {
 			return true
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 	return false
 }
 
-func (s *Set) linked() bool {
+func (s *Cluster) allLinked() bool {
 	for _, e := range s.Entries {
-		if ready, _ := e.Node.Ready(); !ready || e.Node.UpstreamsReady() < s.o.Agents {
+		if ready, _ := e.Node.Ready(); !ready || e.Node.UpstreamsReady() < s.options.Agents {
 			return false
 		}
 	}
@@ -274,7 +274,7 @@
 }
 
 // Callers lists the addresses of the entries' own APIs.
-func (s *Set) Callers() []string {
+func (s *Cluster) Callers() []string {
 	var out []string
 	for _, e := range s.Entries {
 		out = append(out, e.Callers.Address())
@@ -283,7 +283,7 @@
 }
 
 // Stop ends everything at once.
-func (s *Set) Stop() {
+func (s *Cluster) Stop() {
 	for _, e := range s.Entries {
 		e.Stop()
 	}
--- a/internal/standin/embedded/embedded_test.go
+++ b/internal/standin/embedded/embedded_test.go
@@ -21,7 +21,7 @@
 	"hillreel/platform/standin"
 )
 
-func start(t *testing.T, entries, agents int) *embedded.Set {
+func start(t *testing.T, entries, agents int) *embedded.Cluster {
 	set, err := embedded.Start(embedded.Options{
 		Entries: entries, Agents: agents, Cores: 4, Service: "publish", Log: logs.Discard(),
 		Adjust: unhurried,
@@ -41,7 +41,7 @@
 	s.Kept.Lease, s.Kept.Renew = 1500*time.Millisecond, 200*time.Millisecond
 }
 
-func newClient(t *testing.T, set *embedded.Set) *client.Client {
+func newClient(t *testing.T, set *embedded.Cluster) *client.Client {
 	c, err := client.New(client.Options{Entries: set.Callers(), Attempts: 8})
 	qt.Assert(t, err, qt.IsNil)
 	return c
@@ -80,24 +80,24 @@
 func TestFaults(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		fault func(s *embedded.Set)
+		fault func(s *embedded.Cluster)
 	}{
-		{"nothing", func(*embedded.Set) {}},
-		{"store silent", func(s *embedded.Set) { s.Store.Break(standin.Fault{Silent: true}) }},
-		{"store busy", func(s *embedded.Set) { s.Store.Break(standin.Fault{Busy: true}) }},
-		{"upstream crashes", func(s *embedded.Set) { s.Upstreams[0].Crash() }},
-		{"upstream fails all", func(s *embedded.Set) { s.Upstreams[0].Break(standin.UpstreamFault{Fail: true}) }},
-		{"upstream hangs", func(s *embedded.Set) { s.Upstreams[0].Break(standin.UpstreamFault{Hang: true}) }},
-		{"upstream mute", func(s *embedded.Set) { s.Upstreams[0].Break(standin.UpstreamFault{Mute: true}) }},
-		{"upstream drains", func(s *embedded.Set) { s.Upstreams[0].Drain() }},
-		{"late heartbeats of an earlier life", func(s *embedded.Set) {
+		{"nothing", func(*embedded.Cluster) {}},
+		{"store silent", func(s *embedded.Cluster) { s.Store.Break(standin.Fault{Silent: true}) }},
+		{"store busy", func(s *embedded.Cluster) { s.Store.Break(standin.Fault{Busy: true}) }},
+		{"upstream crashes", func(s *embedded.Cluster) { s.Upstreams[0].Crash() }},
+		{"upstream fails all", func(s *embedded.Cluster) { s.Upstreams[0].Break(standin.UpstreamFault{Fail: true}) }},
+		{"upstream hangs", func(s *embedded.Cluster) { s.Upstreams[0].Break(standin.UpstreamFault{Hang: true}) }},
+		{"upstream mute", func(s *embedded.Cluster) { s.Upstreams[0].Break(standin.UpstreamFault{Mute: true}) }},
+		{"upstream drains", func(s *embedded.Cluster) { s.Upstreams[0].Drain() }},
+		{"late heartbeats of an earlier life", func(s *embedded.Cluster) {
 			for _, u := range s.Upstreams {
 				u.BeatOf(0)
 			}
 		}},
-		{"agent leaves", func(s *embedded.Set) { s.Agents[0].Node.Leave() }},
-		{"agent dies", func(s *embedded.Set) { s.Agents[0].Stop() }},
-		{"entry dies", func(s *embedded.Set) { s.Entries[0].Stop() }},
+		{"agent leaves", func(s *embedded.Cluster) { s.Agents[0].Node.Leave() }},
+		{"agent dies", func(s *embedded.Cluster) { s.Agents[0].Stop() }},
+		{"entry dies", func(s *embedded.Cluster) { s.Entries[0].Stop() }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -259,22 +259,22 @@
 	for _, test := range []struct {
 		name  string
 		runMs int64
-		fault func(set *embedded.Set)
+		fault func(set *embedded.Cluster)
 		end   func(c *client.Client, id string) (*api.Answer, error)
 		want  api.State
 	}{
-		{"nothing goes wrong", 100, func(*embedded.Set) {}, nil, verdict.Complete},
-		{"its entry ends", 1500, func(set *embedded.Set) { set.Entries[0].Stop() }, nil, verdict.Complete},
-		{"the store is away", 1500, func(set *embedded.Set) {
+		{"nothing goes wrong", 100, func(*embedded.Cluster) {}, nil, verdict.Complete},
+		{"its entry ends", 1500, func(set *embedded.Cluster) { set.Entries[0].Stop() }, nil, verdict.Complete},
+		{"the store is away", 1500, func(set *embedded.Cluster) {
 			set.Store.Break(standin.Fault{Silent: true})
 			time.Sleep(2500 * time.Millisecond)
 			set.Store.Break(standin.Fault{})
 		}, nil, verdict.Complete},
-		{"an upstream crashes", 1000, func(set *embedded.Set) {
+		{"an upstream crashes", 1000, func(set *embedded.Cluster) {
 			time.Sleep(300 * time.Millisecond)
 			set.Upstreams[0].Crash()
 		}, nil, verdict.Complete},
-		{"another entry cancels it", 60_000, func(*embedded.Set) {}, func(c *client.Client, id string) (*api.Answer, error) {
+		{"another entry cancels it", 60_000, func(*embedded.Cluster) {}, func(c *client.Client, id string) (*api.Answer, error) {
 			return c.Cancel(context.Background(), id)
 		}, verdict.Cancelled},
 	} {
--- a/internal/standin/embedded/restart_test.go
+++ b/internal/standin/embedded/restart_test.go
@@ -42,7 +42,7 @@
 }
 
 // startsAt returns how many runs have started at the first upstream.
-func startsAt(set *embedded.Set) int { return set.Ledger.StartsAt(0) }
+func startsAt(set *embedded.Cluster) int { return set.Ledger.StartsAt(0) }
 
 // TestUpstreamThatStartsAgainLeaves: an upstream that has started again under its id says that it leaves, and nothing starts
 // there any more.
@@ -124,7 +124,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			set, err := embedded.Start(embedded.Options{
-				Entries: 2, Agents: 4, Cores: 8, Service: "publish", Log: logs.Discard(), Adjust: unhurried, Unborn: test.unborn,
+				Entries: 2, Agents: 4, Cores: 8, Service: "publish", Log: logs.Discard(), Adjust: unhurried, OmitBorn: test.unborn,
 			})
 			qt.Assert(t, err, qt.IsNil)
 			t.Cleanup(set.Stop)
--- a/internal/standin/embedded/silence_test.go
+++ b/internal/standin/embedded/silence_test.go
@@ -18,11 +18,11 @@
 // proxies are those of a set, by the kind of connections.
 type proxies struct {
 	mu  sync.Mutex
-	all map[embedded.Path][]*silence.Proxy
+	all map[embedded.ConnKind][]*silence.Proxy
 }
 
-func (p *proxies) through(t *testing.T) func(embedded.Path, string) string {
-	return func(kind embedded.Path, address string) string {
+func (p *proxies) through(t *testing.T) func(embedded.ConnKind, string) string {
+	return func(kind embedded.ConnKind, address string) string {
 		x, err := silence.New(loopback.Draw(loopback.Embedded, 7400), address)
 		qt.Assert(t, err, qt.IsNil)
 		t.Cleanup(x.Close)
@@ -34,7 +34,7 @@
 }
 
 // silence makes all open connections of some kinds silent for good.
-func (p *proxies) silence(t *testing.T, kinds ...embedded.Path) {
+func (p *proxies) silence(t *testing.T, kinds ...embedded.ConnKind) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, kind := range kinds {
@@ -53,18 +53,18 @@
 // One set at a time: side by side beside other load, five sets of six nodes and their proxies in one process with the race detector
 // leave a hold unanswered for more than 400 ms, and a lease of 800 ms lapses without any fault.
 func TestSilence(t *testing.T) {
-	all := []embedded.Path{embedded.PathLink, embedded.PathUpstream, embedded.PathBeats, embedded.PathStore}
+	all := []embedded.ConnKind{embedded.ConnLink, embedded.ConnUpstream, embedded.ConnHeartbeats, embedded.ConnStore}
 	for _, test := range []struct {
 		name  string
-		kinds []embedded.Path
+		kinds []embedded.ConnKind
 	}{
 		{"links", all[:1]}, {"upstreams", all[1:2]}, {"heartbeats", all[2:3]}, {"store", all[3:]}, {"all", all},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			const jobs = 24
-			p := &proxies{all: make(map[embedded.Path][]*silence.Proxy)}
+			p := &proxies{all: make(map[embedded.ConnKind][]*silence.Proxy)}
 			set, err := embedded.Start(embedded.Options{
-				Entries: 2, Agents: 4, Cores: 16, Service: "publish", Log: logs.Discard(), Adjust: unhurried, Through: p.through(t),
+				Entries: 2, Agents: 4, Cores: 16, Service: "publish", Log: logs.Discard(), Adjust: unhurried, Proxy: p.through(t),
 			})
 			qt.Assert(t, err, qt.IsNil)
 			t.Cleanup(set.Stop)
--- a/internal/standin/loopback/loopback.go
+++ b/internal/standin/loopback/loopback.go
@@ -22,12 +22,12 @@
 // by then for somebody's outgoing connection. A process draws no address twice; where it begins is random, since the same
 // tests may run twice at a time.
 func Draw(r Range, port int) string {
-	n := drawn.Add(1)
+	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:%d", uint32(r)+n>>15&63, n>>7&255, 1+n&127, port)
 }
 
 // drawn counts the addresses.
-var drawn = func() *atomic.Uint32 {
+var addressCount = func() *atomic.Uint32 {
 	var n atomic.Uint32
 	n.Store(rand.Uint32())
 	return &n
--- a/internal/standin/silence/silence.go
+++ b/internal/standin/silence/silence.go
@@ -14,33 +14,33 @@
 
 // Proxy passes connections on.
 type Proxy struct {
-	ln net.Listener
-	to string
+	ln     net.Listener
+	target string
 
 	mu    sync.Mutex
 	pairs map[*pair]bool
 	// silent are the connections that are kept, since an end of theirs would be heard.
-	silent []net.Conn
+	silenced []net.Conn
 }
 
 // pair is one connection through the proxy.
 type pair struct {
-	near, far net.Conn
+	client, server net.Conn
 
-	mu     sync.Mutex
-	silent bool
+	mu       sync.Mutex
+	silenced bool
 }
 
 // quiet sends no keep-alive probes of the proxy's own: the other side would take them for signs of life.
-var quiet = net.ListenConfig{KeepAlive: -1}
+var noKeepAlive = net.ListenConfig{KeepAlive: -1}
 
 // New listens at an address and passes connections on to another.
 func New(address, to string) (*Proxy, error) {
-	ln, err := quiet.Listen(context.Background(), "tcp", address)
+	ln, err := noKeepAlive.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "silence: listen")
 	}
-	p := &Proxy{ln: ln, to: to, pairs: make(map[*pair]bool)}
+	p := &Proxy{ln: ln, target: to, pairs: make(map[*pair]bool)}
 	go p.accept()
 	return p, nil
 }
@@ -60,18 +60,18 @@
 
 func (p *Proxy) serve(near net.Conn) {
 	dialer := net.Dialer{Timeout: time.Second, KeepAlive: -1}
-	far, err := dialer.Dial("tcp", p.to)
+	far, err := dialer.Dial("tcp", p.target)
 	if err != nil {
 		near.Close()
 		return
 	}
-	c := &pair{near: near, far: far}
+	c := &pair{client: near, server: far}
 	p.mu.Lock()
 	p.pairs[c] = true
 	p.mu.Unlock()
 	var group sync.WaitGroup
-	group.Go(func() { c.carry(near, far) })
-	group.Go(func() { c.carry(far, near) })
+	group.Go(func() { c.copyOneWay(near, far) })
+	group.Go(func() { c.copyOneWay(far, near) })
 	group.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,11 +79,11 @@
 }
 
 // carry copies one direction until either side ends.
-func (c *pair) carry(from, to net.Conn) {
+func (c *pair) copyOneWay(from, to net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if !c.pass(to, buffer[:n], err) {
+		if !c.forward(to, buffer[:n], err) {
 			return
 		}
 	}
@@ -91,18 +91,18 @@
 
 // pass writes what was read, and ends both sides when one has ended; it tells whether there will be more. Nothing of this is
 // done once the pair is silent.
-func (c *pair) pass(to net.Conn, read []byte, ended error) bool {
+func (c *pair) forward(to net.Conn, read []byte, ended error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.silent {
+	if c.silenced {
 		return false
 	}
 	_, err := to.Write(read)
 	if ended == nil && err == nil {
 		return true
 	}
-	c.near.Close()
-	c.far.Close()
+	c.client.Close()
+	c.server.Close()
 	return false
 }
 
@@ -113,10 +113,10 @@
 	n := 0
 	for c := range p.pairs {
 		c.mu.Lock()
-		c.silent = true
+		c.silenced = true
 		c.mu.Unlock()
-		p.silent = append(p.silent, c.near, c.far)
-		if err := errors.Wrap(Deafen(c.near, c.far), "silence"); err != nil {
+		p.silenced = append(p.silenced, c.client, c.server)
+		if err := errors.Wrap(DropIncoming(c.client, c.server), "silence"); err != nil {
 			return n, err
 		}
 		delete(p.pairs, c)
@@ -131,13 +131,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.pairs {
-		reset(c.near, c.far)
+		reset(c.client, c.server)
 	}
-	reset(p.silent...)
+	reset(p.silenced...)
 }
 
 // Deafen lets the kernel drop all that arrives for some TCP connections from now on, before it is acknowledged.
-func Deafen(conns ...net.Conn) error {
+func DropIncoming(conns ...net.Conn) error {
 	drop := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0}
 	program := unix.SockFprog{Len: 1, Filter: &drop}
 	for _, c := range conns {
