--- a/internal/standin/loopback/loopback.go
+++ b/internal/standin/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback draws addresses for servers of sets that run on one machine.
+// Package loopback hands out loopback addresses for the servers of test clusters that run on one machine.
 package loopback
 
 import (
@@ -7,26 +7,26 @@
 	"sync/atomic"
 )
 
-// Range is the first of the 64 networks 127.Range.0.0/16 from which addresses are drawn.
+// Range is the second octet of the first of the 64 networks 127.Range.0.0/16 from which Draw takes addresses.
 type Range uint32
 
-// The ranges: one for each kind of set, so that sets of different kinds do not meet.
+// The ranges. Each kind of cluster has its own, so that clusters of different kinds never share an address.
 const (
-	// Embedded is for sets inside one process.
+	// Embedded is for clusters that run inside one process.
 	Embedded Range = 64
-	// Processes is for sets of processes.
+	// Processes is for clusters of separate processes.
 	Processes Range = 128
 )
 
-// Draw draws a loopback address of its own for each server. A port of 127.0.0.1 that was free a moment ago may be taken
-// by then for somebody's outgoing connection. A process draws no address twice; where it begins is random, since the same
-// tests may run twice at a time.
+// Draw returns a loopback address with the given port that this process has not drawn before. A free port of 127.0.0.1 would not do:
+// the kernel may assign it to an outgoing connection before the server listens. The first address is random, because the same tests
+// may run in two processes at once.
 func Draw(r Range, port int) string {
 	n := addressCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d:%d", uint32(r)+n>>15&63, n>>7&255, 1+n&127, port)
 }
 
-// drawn counts the addresses.
+// addressCount numbers the addresses of this process, starting at a random value.
 var addressCount = func() *atomic.Uint32 {
 	var n atomic.Uint32
 	n.Store(rand.Uint32())
--- a/internal/standin/loopback/loopback_test.go
+++ b/internal/standin/loopback/loopback_test.go
@@ -8,8 +8,8 @@
 	"hillreel/internal/standin/loopback"
 )
 
-// TestDrawRepeatsNothing: of 300 addresses that are drawn at random from two million, two are the same in one run of fifty, and
-// the second server can't listen.
+// TestDrawRepeatsNothing guards against two servers with the same address, the second of which cannot listen. If addresses were
+// independent random draws from two million, 300 draws would contain a duplicate in one run of fifty.
 func TestDrawRepeatsNothing(t *testing.T) {
 	const addresses = 100_000
 	seen := make(map[string]bool)
