--- a/internal/standin/silence/silence.go
+++ b/internal/standin/silence/silence.go
@@ -1,5 +1,5 @@
-// Package silence has a proxy for tests whose open connections can be made silent for good: nothing comes over them any
-// more, no acknowledgement of a keep-alive probe and no end either, while new connections work.
+// Package silence provides a TCP proxy for tests that can silence its open connections permanently. A silenced connection delivers
+// nothing more: no data, no acknowledgement of a keep-alive probe, and no FIN or RST. New connections work as usual.
 package silence
 
 import (
@@ -12,18 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Proxy passes connections on.
+// Proxy forwards TCP connections to a target address.
 type Proxy struct {
 	ln     net.Listener
 	target string
 
 	mu    sync.Mutex
 	pairs map[*pair]bool
-	// silent are the connections that are kept, since an end of theirs would be heard.
+	// silenced holds the silenced connections open until Close, because closing one would send a FIN or RST to its peer.
 	silenced []net.Conn
 }
 
-// pair is one connection through the proxy.
+// pair is the two halves of one proxied connection.
 type pair struct {
 	client, server net.Conn
 
@@ -31,10 +31,10 @@
 	silenced bool
 }
 
-// quiet sends no keep-alive probes of the proxy's own: the other side would take them for signs of life.
+// noKeepAlive disables the proxy's own keep-alive probes: the peer would take them as a sign that the connection is alive.
 var noKeepAlive = net.ListenConfig{KeepAlive: -1}
 
-// New listens at an address and passes connections on to another.
+// New starts a Proxy that listens at address and forwards connections to the address to.
 func New(address, to string) (*Proxy, error) {
 	ln, err := noKeepAlive.Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -45,40 +45,40 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address at which the proxy listens.
 func (p *Proxy) Address() string { return p.ln.Addr().String() }
 
 func (p *Proxy) accept() {
 	for {
-		near, err := p.ln.Accept()
+		client, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(near)
+		go p.serve(client)
 	}
 }
 
-func (p *Proxy) serve(near net.Conn) {
+func (p *Proxy) serve(client net.Conn) {
 	dialer := net.Dialer{Timeout: time.Second, KeepAlive: -1}
-	far, err := dialer.Dial("tcp", p.target)
+	server, err := dialer.Dial("tcp", p.target)
 	if err != nil {
-		near.Close()
+		client.Close()
 		return
 	}
-	c := &pair{client: near, server: far}
+	c := &pair{client: client, server: server}
 	p.mu.Lock()
 	p.pairs[c] = true
 	p.mu.Unlock()
 	var group sync.WaitGroup
-	group.Go(func() { c.copyOneWay(near, far) })
-	group.Go(func() { c.copyOneWay(far, near) })
+	group.Go(func() { c.copyOneWay(client, server) })
+	group.Go(func() { c.copyOneWay(server, client) })
 	group.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pairs, c)
 }
 
-// carry copies one direction until either side ends.
+// copyOneWay copies data in one direction until either side closes or the pair is silenced.
 func (c *pair) copyOneWay(from, to net.Conn) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -89,16 +89,16 @@
 	}
 }
 
-// pass writes what was read, and ends both sides when one has ended; it tells whether there will be more. Nothing of this is
-// done once the pair is silent.
-func (c *pair) forward(to net.Conn, read []byte, ended error) bool {
+// forward writes data to a connection. If the read returned an error, or if the write fails, it closes both connections. It reports
+// whether copying goes on. For a silenced pair it neither writes nor closes, and returns false.
+func (c *pair) forward(to net.Conn, data []byte, readErr error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.silenced {
 		return false
 	}
-	_, err := to.Write(read)
-	if ended == nil && err == nil {
+	_, err := to.Write(data)
+	if readErr == nil && err == nil {
 		return true
 	}
 	c.client.Close()
@@ -106,7 +106,8 @@
 	return false
 }
 
-// Silence makes all open connections silent for good and returns how many there were.
+// Silence permanently silences all open connections and returns their number. If that fails for one of them, it stops there
+// and returns the number of those before it with the error.
 func (p *Proxy) Silence() (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,9 +126,9 @@
 	return n, nil
 }
 
-// Close ends the proxy and resets all its connections.
+// Close stops listening and resets all connections, including the silenced ones.
 func (p *Proxy) Close() {
-	p.ln.Close() //nolint:errcheck // it is closed only here
+	p.ln.Close() //nolint:errcheck // closed only here
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.pairs {
@@ -136,14 +137,15 @@
 	reset(p.silenced...)
 }
 
-// Deafen lets the kernel drop all that arrives for some TCP connections from now on, before it is acknowledged.
+// DropIncoming makes the kernel drop every packet that arrives for the given TCP connections, before acknowledging it. It returns an
+// error if a connection is not a *net.TCPConn or the kernel refuses the packet filter. A connection that is already closed is skipped.
 func DropIncoming(conns ...net.Conn) error {
 	drop := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 0}
 	program := unix.SockFprog{Len: 1, Filter: &drop}
 	for _, c := range conns {
 		tcp, ok := c.(*net.TCPConn)
 		if !ok {
-			return errors.Errorf("%T is no TCP connection", c)
+			return errors.Errorf("not a TCP connection: %T", c)
 		}
 		raw, err := tcp.SyscallConn()
 		if err != nil {
@@ -153,7 +155,7 @@
 		if err := raw.Control(func(fd uintptr) {
 			failed = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &program)
 		}); err != nil {
-			continue // it has just been closed
+			continue // already closed
 		}
 		if failed != nil {
 			return failed
@@ -162,11 +164,11 @@
 	return nil
 }
 
-// reset ends connections with a reset instead of an orderly end.
+// reset closes connections with a RST instead of a FIN.
 func reset(conns ...net.Conn) {
 	for _, c := range conns {
 		if t, ok := c.(*net.TCPConn); ok {
-			t.SetLinger(0) //nolint:errcheck // it is about to be closed
+			t.SetLinger(0) //nolint:errcheck // about to be closed
 		}
 		c.Close()
 	}
--- a/internal/standin/silence/silence_test.go
+++ b/internal/standin/silence/silence_test.go
@@ -13,7 +13,8 @@
 	"hillreel/internal/standin/silence"
 )
 
-// TestSilence: an open connection says nothing any more, neither bytes nor an end, and a new one works.
+// TestSilence checks that a silenced connection delivers neither data nor a close, so that a read times out, and that a new
+// connection works.
 func TestSilence(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -24,7 +25,7 @@
 			if err != nil {
 				return
 			}
-			go io.Copy(conn, conn) //nolint:errcheck // it ends with the test
+			go io.Copy(conn, conn) //nolint:errcheck // ends with the test
 		}
 	}()
 	p, err := silence.New("127.0.0.1:0", ln.Addr().String())
@@ -45,7 +46,7 @@
 	dial()
 }
 
-// echoed sends a byte and waits for it to come back.
+// echoed sends one byte and waits up to 300 ms for the echo.
 func echoed(c net.Conn) error {
 	if err := c.SetDeadline(time.Now().Add(300 * time.Millisecond)); err != nil {
 		return err
