--- a/internal/standin/embedded/await_test.go
+++ b/internal/standin/embedded/await_test.go
@@ -7,29 +7,29 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestStaysLinked: one look that finds the set linked does not do, since an entry counts links for a while that their agents
-// have given up.
+// TestStaysLinked guards against a cluster that counts as up after a single successful check: an entry still counts a link for a
+// while after its agent has abandoned it.
 func TestStaysLinked(t *testing.T) {
 	always := func(int) bool { return true }
 	for _, test := range []struct {
 		name string
-		// linked is what a look finds, by its number.
-		linked func(look int) bool
+		// linked is the result of the n-th check, counted from 1.
+		linked func(n int) bool
 		limit  time.Duration
 		want   bool
 	}{
-		{"from the first look on", always, time.Second, true},
+		{"from the first check on", always, time.Second, true},
 		{"never", func(int) bool { return false }, 2 * stablePeriod, false},
-		{"now and then", func(look int) bool { return look%4 != 0 }, 3 * stablePeriod, false},
-		{"once early, then for good", func(look int) bool { return look == 1 || look > 5 }, 2 * time.Second, true},
-		{"too late to tell", always, stablePeriod / 2, false},
+		{"intermittently", func(n int) bool { return n%4 != 0 }, 3 * stablePeriod, false},
+		{"once early, then for good", func(n int) bool { return n == 1 || n > 5 }, 2 * time.Second, true},
+		{"limit shorter than the stable period", always, stablePeriod / 2, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			looks := 0
+			checks := 0
 			lastMissing := time.Now()
 			got := staysLinked(func() bool {
-				looks++
-				if !test.linked(looks) {
+				checks++
+				if !test.linked(checks) {
 					lastMissing = time.Now()
 					return false
 				}
--- a/internal/standin/embedded/crash_test.go
+++ b/internal/standin/embedded/crash_test.go
@@ -12,14 +12,14 @@
 	"hillreel/internal/core/verdict"
 )
 
-// TestTaskThatCrashesUpstreams: whole processes find out which task crashes one upstream after the other. Its job fails, at any entry also
-// when it is sent again, and the jobs beside it are done.
+// TestTaskThatCrashesUpstreams guards against a task that keeps crashing one upstream after another. Its job must fail, must not start
+// again when it is resubmitted at any entry, and must not disturb the jobs that run beside it.
 func TestTaskThatCrashesUpstreams(t *testing.T) {
 	for _, keep := range []bool{false, true} {
-		set := start(t, 2, 6)
-		c := newClient(t, set)
-		sound := make(chan map[api.State]int)
-		go func() { sound <- submitAll(t, c, 30, job(60, `{"run_ms":60}`)) }()
+		cluster := start(t, 2, 6)
+		c := newClient(t, cluster)
+		healthy := make(chan map[api.State]int)
+		go func() { healthy <- submitAll(t, c, 30, job(60, `{"run_ms":60}`)) }()
 		bad := api.Job{
 			Service: "publish", Spec: `{"run_ms":60,"crash":true}`, ObjectiveMs: 20_000, Keep: keep,
 			Steps: []api.Step{{Count: 1, CPUMillis: 1000, EstimateMs: 60}},
@@ -28,12 +28,12 @@
 		_, err := c.Submit(context.Background(), id, bad)
 		qt.Assert(t, err, qt.IsNil)
 		if keep {
-			eventually(t, "the job's end", func() bool {
+			eventually(t, "the job to fail", func() bool {
 				a, err := c.State(context.Background(), id)
 				return err == nil && a.State == verdict.Failed
 			})
 		}
-		begun, _ := set.Ledger.Job(id)
+		started, _ := cluster.Ledger.Job(id)
 		for range 4 {
 			a, err := c.Submit(context.Background(), id, bad)
 			qt.Assert(t, err, qt.IsNil)
@@ -42,13 +42,13 @@
 				qt.Assert(t, a.Reason, qt.Equals, verdict.CrashesUpstreams)
 			}
 		}
-		qt.Assert(t, <-sound, qt.DeepEquals, map[api.State]int{verdict.Complete: 30})
+		qt.Assert(t, <-healthy, qt.DeepEquals, map[api.State]int{verdict.Complete: 30})
 		time.Sleep(100 * time.Millisecond)
-		after, done := set.Ledger.Job(id)
-		qt.Assert(t, after, qt.Equals, begun)
+		after, done := cluster.Ledger.Job(id)
+		qt.Assert(t, after, qt.Equals, started)
 		qt.Assert(t, done, qt.Equals, 0)
-		qt.Assert(t, set.Ledger.Overdone(), qt.HasLen, 0)
-		qt.Assert(t, set.Ledger.MayFail(id), qt.IsTrue)
-		t.Logf("keep %v: the task was started %d times", keep, begun)
+		qt.Assert(t, cluster.Ledger.Overdone(), qt.HasLen, 0)
+		qt.Assert(t, cluster.Ledger.MayFail(id), qt.IsTrue)
+		t.Logf("keep %v: the task was started %d times", keep, started)
 	}
 }
--- a/internal/standin/embedded/embedded.go
+++ b/internal/standin/embedded/embedded.go
@@ -1,5 +1,5 @@
-// Package embedded runs a whole set in one process, over loopback: the stand-ins for the platform's store and for
-// upstreams, agents and entries. The demo and the tests use it.
+// Package embedded runs a whole cluster in one process over loopback: agents and entries, with stand-ins for the platform's store
+// and for the upstreams. The demo and the tests use it.
 package embedded
 
 import (
@@ -25,47 +25,53 @@
 	"hillreel/platform/standin"
 )
 
-// Token is the operators' token of an embedded set.
+// Token is the operator token that the entries of an embedded cluster accept.
 const Token = "embedded-operator-token"
 
-// Options describe a set.
+// Options configures a Cluster.
 type Options struct {
+	// Entries and Agents are the numbers of entries and agents to start. Each agent has one upstream.
 	Entries, Agents int
-	// Service is what all upstreams serve.
+	// Service is the service that all upstreams run.
 	Service ident.Service
-	// Cores of each upstream.
+	// Cores is the CPU capacity of each upstream, in cores.
 	Cores int64
 	Log   *logrus.Entry
-	// FixedPorts puts the first entry's APIs at the ports of hillreel.ini's examples: 7600 and 7500.
+	// FixedPorts makes the first entry listen at the ports from the examples in hillreel.ini: 7600 for callers and 7500 for metrics.
 	FixedPorts bool
-	// Unborn: upstreams do not tell when their lives began.
+	// OmitBorn makes upstreams leave the start time of their incarnation out of their heartbeats.
 	OmitBorn bool
-	// Adjust changes the settings of a process before it starts; it may be nil.
+	// Adjust changes the settings of a process before it starts. The role is "entry" or "agent". Adjust may be nil.
 	Adjust func(role string, s *settings.Settings)
-	// Through returns the address under which others reach an address of the set: that of a proxy. It may be nil.
+	// Proxy returns the address, normally of a proxy, through which other processes connect to the given address. It may be nil;
+	// connections are then direct.
 	Proxy func(kind ConnKind, address string) string
 }
 
-// Path is a kind of connection.
+// ConnKind is a kind of connection between the parts of a cluster.
 type ConnKind string
 
-// The kinds of connections inside a set.
+// The kinds of connections inside a cluster.
 const (
-	ConnStore      ConnKind = "store"
-	ConnLink       ConnKind = "link"
-	ConnUpstream   ConnKind = "upstream"
+	// ConnStore is from an entry or agent to the platform's store.
+	ConnStore ConnKind = "store"
+	// ConnLink is from an agent to an entry.
+	ConnLink ConnKind = "link"
+	// ConnUpstream is from an agent to its upstream.
+	ConnUpstream ConnKind = "upstream"
+	// ConnHeartbeats is from an upstream to its agent.
 	ConnHeartbeats ConnKind = "heartbeats"
 )
 
-// through returns the address under which others reach an address of the set.
-func (s *Cluster) proxied(kind ConnKind, address settings.Address) settings.Address {
-	if s.options.Proxy == nil {
+// proxied returns the address through which other processes connect to the given address: Options.Proxy's, or the address itself.
+func (c *Cluster) proxied(kind ConnKind, address settings.Address) settings.Address {
+	if c.options.Proxy == nil {
 		return address
 	}
-	return settings.Address(s.options.Proxy(kind, string(address)))
+	return settings.Address(c.options.Proxy(kind, string(address)))
 }
 
-// Set is a running set.
+// Cluster is a running cluster. Upstreams[i] is the upstream of Agents[i]; Ledger records what all upstreams run.
 type Cluster struct {
 	options     Options
 	Store       *standin.Store
@@ -77,109 +83,110 @@
 	stops       []func()
 }
 
-// fixed ports of the first entry of a set that is kept.
+// The ports of the first entry under Options.FixedPorts.
 const (
 	fixedCallersPort = 7600
 	fixedMetricsPort = 7500
 )
 
-// Start starts a set and waits until every agent is linked to every entry and stays so.
+// Start starts a cluster and waits until every entry has been ready, with the upstreams of all agents, for a stable period. If the
+// cluster fails to start within startTimeout, Start stops it and returns an error.
 func Start(o Options) (*Cluster, error) {
-	s := &Cluster{options: o, Store: standin.NewStore(), Ledger: standin.NewLedger()}
-	if err := s.start(); err != nil {
-		s.Stop()
+	c := &Cluster{options: o, Store: standin.NewStore(), Ledger: standin.NewLedger()}
+	if err := c.start(); err != nil {
+		c.Stop()
 		return nil, err
 	}
-	return s, nil
+	return c, nil
 }
 
-func (s *Cluster) start() error {
-	s.Configure(1)
-	s.storeServer = web.New("the store", newAddress(), s.Store.Handler(), web.Internal)
-	if err := s.serve(s.storeServer); err != nil {
+func (c *Cluster) start() error {
+	c.Configure(1)
+	c.storeServer = web.New("the store", newAddress(), c.Store.Handler(), web.Internal)
+	if err := c.serve(c.storeServer); err != nil {
 		return err
 	}
-	for i := range s.options.Entries {
-		if _, err := s.StartEntry(i, settings.Address(s.storeServer.Address())); err != nil {
+	for i := range c.options.Entries {
+		if _, err := c.StartEntry(i, settings.Address(c.storeServer.Address())); err != nil {
 			return err
 		}
 	}
-	for i := range s.options.Agents {
-		if err := s.StartAgent(i); err != nil {
+	for i := range c.options.Agents {
+		if err := c.StartAgent(i); err != nil {
 			return err
 		}
 	}
-	return s.awaitLinked()
+	return c.awaitLinked()
 }
 
-// serve starts a server that ends with the set.
-func (s *Cluster) serve(w *web.Server) error {
+// serve starts a server and registers it to be stopped with the cluster.
+func (c *Cluster) serve(w *web.Server) error {
 	if err := w.Start(context.Background()); err != nil {
 		return err
 	}
-	s.stops = append(s.stops, w.Stop)
+	c.stops = append(c.stops, w.Stop)
 	return nil
 }
 
-// Configure puts a configuration with one queue, for the platform's clients, into the store.
-func (s *Cluster) Configure(version uint64) {
-	raw, err := standin.Routes(version, string(s.options.Service), 2, 100*time.Millisecond)
+// Configure writes a routing configuration with one queue for the platform's clients to the store.
+func (c *Cluster) Configure(version uint64) {
+	raw, err := standin.Routes(version, string(c.options.Service), 2, 100*time.Millisecond)
 	if err != nil {
-		panic("embedded: " + err.Error()) // it is made of constants
+		panic("embedded: " + err.Error()) // all inputs except the version are constants
 	}
-	s.Store.Put(string(platform.ConfigKey.Table), platform.ConfigKey.Name, raw)
+	c.Store.Put(string(platform.ConfigKey.Table), platform.ConfigKey.Name, raw)
 }
 
-// freeAddress draws an address for a server.
+// newAddress returns an unused address for a server.
 func newAddress() settings.Address {
 	return settings.Address(loopback.Draw(loopback.Embedded, embeddedPort))
 }
 
-// embeddedPort is the port of all servers of a set.
+// embeddedPort is the port of all servers of a cluster. Each server has its own IP address.
 const embeddedPort = 7400
 
-// settings returns a process's settings.
-func (s *Cluster) settings(role string, i int) (*settings.Settings, error) {
-	set, err := settings.Load("")
+// settings returns the settings of the i-th process of a role.
+func (c *Cluster) settings(role string, i int) (*settings.Settings, error) {
+	cfg, err := settings.Load("")
 	if err != nil {
 		return nil, err
 	}
-	set.Node.Name = fmt.Sprintf("%s-%d", role, i)
-	set.Node.Zone = fmt.Sprintf("zone-%d", 1+i%3)
-	set.Platform.Store = s.proxied(ConnStore, settings.Address(s.storeServer.Address()))
-	set.Entry.OperatorToken = Token
-	for _, a := range []*settings.Address{&set.Node.Link, &set.Node.Metrics, &set.Entry.Callers, &set.Entry.Front, &set.Agent.Control, &set.Agent.Upstream} {
+	cfg.Node.Name = fmt.Sprintf("%s-%d", role, i)
+	cfg.Node.Zone = fmt.Sprintf("zone-%d", 1+i%3)
+	cfg.Platform.Store = c.proxied(ConnStore, settings.Address(c.storeServer.Address()))
+	cfg.Entry.OperatorToken = Token
+	for _, a := range []*settings.Address{&cfg.Node.Link, &cfg.Node.Metrics, &cfg.Entry.Callers, &cfg.Entry.Front, &cfg.Agent.Control, &cfg.Agent.Upstream} {
 		*a = newAddress()
 	}
-	if s.options.FixedPorts && role == "entry" && i == 0 {
-		set.Entry.Callers = settings.Address(fmt.Sprintf("127.0.0.1:%d", fixedCallersPort))
-		set.Node.Metrics = settings.Address(fmt.Sprintf("127.0.0.1:%d", fixedMetricsPort))
+	if c.options.FixedPorts && role == "entry" && i == 0 {
+		cfg.Entry.Callers = settings.Address(fmt.Sprintf("127.0.0.1:%d", fixedCallersPort))
+		cfg.Node.Metrics = settings.Address(fmt.Sprintf("127.0.0.1:%d", fixedMetricsPort))
 	}
-	if s.options.Adjust != nil {
-		s.options.Adjust(role, set)
+	if c.options.Adjust != nil {
+		c.options.Adjust(role, cfg)
 	}
-	return set, nil
+	return cfg, nil
 }
 
-func (s *Cluster) storeClient(set *settings.Settings) *platform.Store {
-	return platform.NewStore(ident.Address(set.Platform.Store), set.Platform.Timeout)
+func (c *Cluster) storeClient(cfg *settings.Settings) *platform.Store {
+	return platform.NewStore(ident.Address(cfg.Platform.Store), cfg.Platform.Timeout)
 }
 
-// StartEntry starts one more entry, which finds the store at an address. Without a store, nobody learns of it but
-// the agents, which are told here.
-func (s *Cluster) StartEntry(i int, store settings.Address) (*entry.Process, error) {
-	set, err := s.settings("entry", i)
+// StartEntry starts one more entry that uses the store at the given address. If that is not the address of the cluster's store,
+// the entry cannot register itself, so StartEntry gives its address to the agents directly.
+func (c *Cluster) StartEntry(i int, store settings.Address) (*entry.Process, error) {
+	cfg, err := c.settings("entry", i)
 	if err != nil {
 		return nil, err
 	}
-	if string(store) != s.storeServer.Address() {
-		set.Platform.Store = store
+	if string(store) != c.storeServer.Address() {
+		cfg.Platform.Store = store
 	}
-	set.Node.Advertise = s.proxied(ConnLink, set.Node.Link)
-	log := s.options.Log.WithFields(logrus.Fields{"role": "entry", "node": set.Node.Name})
-	p, err := entry.New(set, entry.Deps{
-		Store: s.storeClient(set), Config: platform.ConfigKey, Cordons: platform.Cordons, Decode: platform.ReadConfig, Log: log,
-		Front: func(n *node.Node) http.Handler { return platform.NewFront(n, int64(set.Entry.MaxBody), log) },
+	cfg.Node.Advertise = c.proxied(ConnLink, cfg.Node.Link)
+	log := c.options.Log.WithFields(logrus.Fields{"role": "entry", "node": cfg.Node.Name})
+	p, err := entry.New(cfg, entry.Deps{
+		Store: c.storeClient(cfg), Config: platform.ConfigKey, Cordons: platform.Cordons, Decode: platform.ReadConfig, Log: log,
+		Front: func(n *node.Node) http.Handler { return platform.NewFront(n, int64(cfg.Entry.MaxBody), log) },
 	})
 	if err != nil {
 		return nil, err
@@ -187,38 +194,38 @@
 	if err := p.Start(context.Background()); err != nil {
 		return nil, err
 	}
-	s.Entries = append(s.Entries, p)
-	if string(store) != s.storeServer.Address() {
-		for _, g := range s.Agents {
+	c.Entries = append(c.Entries, p)
+	if string(store) != c.storeServer.Address() {
+		for _, g := range c.Agents {
 			g.Node.SetEntries([]fleet.Entry{
-				{Address: ident.Address(s.Entries[0].Node.Address())}, {Address: ident.Address(p.Node.Address())},
+				{Address: ident.Address(c.Entries[0].Node.Address())}, {Address: ident.Address(p.Node.Address())},
 			})
 		}
 	}
 	return p, nil
 }
 
-// StartAgent starts an upstream and the agent beside it.
-func (s *Cluster) StartAgent(i int) error {
-	set, err := s.settings("agent", i)
+// StartAgent starts an upstream and its agent.
+func (c *Cluster) StartAgent(i int) error {
+	cfg, err := c.settings("agent", i)
 	if err != nil {
 		return err
 	}
-	log := s.options.Log.WithFields(logrus.Fields{"role": "agent", "node": set.Node.Name})
+	log := c.options.Log.WithFields(logrus.Fields{"role": "agent", "node": cfg.Node.Name})
 	u := standin.NewUpstream(standin.UpstreamOptions{
-		Name: fmt.Sprintf("upstream-%d", i), Service: string(s.options.Service), Agent: string(s.proxied(ConnHeartbeats, set.Agent.Control)),
-		CPU: s.options.Cores * 1000, MemMB: 64 << 10, Labels: []string{fmt.Sprintf("rack-%d", i/3)}, Beat: 200 * time.Millisecond,
-		Ledger: s.Ledger, Unborn: s.options.OmitBorn,
+		Name: fmt.Sprintf("upstream-%d", i), Service: string(c.options.Service), Agent: string(c.proxied(ConnHeartbeats, cfg.Agent.Control)),
+		CPU: c.options.Cores * 1000, MemMB: 64 << 10, Labels: []string{fmt.Sprintf("rack-%d", i/3)}, Beat: 200 * time.Millisecond,
+		Ledger: c.Ledger, Unborn: c.options.OmitBorn,
 	})
-	s.stops = append(s.stops, u.Close)
-	s.Upstreams = append(s.Upstreams, u)
-	if err := s.serve(web.New("the upstream", set.Agent.Upstream, u.Handler(), web.Internal)); err != nil {
+	c.stops = append(c.stops, u.Close)
+	c.Upstreams = append(c.Upstreams, u)
+	if err := c.serve(web.New("the upstream", cfg.Agent.Upstream, u.Handler(), web.Internal)); err != nil {
 		return err
 	}
-	calls := platform.NewUpstream(ident.Address(s.proxied(ConnUpstream, set.Agent.Upstream)), set.Agent.Connections, set.Agent.CallTimeout)
-	p, err := agent.New(set, agent.Deps{
-		Store: s.storeClient(set), Upstream: calls, Cordons: platform.Cordons, Dial: session.TCP, Log: log,
-		Heartbeats: func(n *agentnode.Node) http.Handler { return platform.Beats(n, s.options.Service, log) },
+	calls := platform.NewUpstream(ident.Address(c.proxied(ConnUpstream, cfg.Agent.Upstream)), cfg.Agent.Connections, cfg.Agent.CallTimeout)
+	p, err := agent.New(cfg, agent.Deps{
+		Store: c.storeClient(cfg), Upstream: calls, Cordons: platform.Cordons, Dial: session.TCP, Log: log,
+		Heartbeats: func(n *agentnode.Node) http.Handler { return platform.Beats(n, c.options.Service, log) },
 	})
 	if err != nil {
 		return err
@@ -226,30 +233,31 @@
 	if err := p.Start(context.Background()); err != nil {
 		return err
 	}
-	s.Agents = append(s.Agents, p)
+	c.Agents = append(c.Agents, p)
 	return nil
 }
 
-// startLimit bounds the start of a set.
+// startTimeout bounds how long a cluster may take to come up.
 const startTimeout = 20 * time.Second
 
 const (
-	// lookEvery is the pause between two looks at whether a set has come up.
+	// pollInterval is the pause between two checks whether the cluster has come up.
 	pollInterval = 10 * time.Millisecond
-	// staysUp is for how long all looks must find a set linked. An entry counts a link that its agent has given up, or that
-	// has fallen silent, for up to 250 ms (Links.Quiet by default), and a set whose links move is looked at entry by entry.
+	// stablePeriod is how long every check must succeed before the cluster counts as up. A single check does not suffice: for up to
+	// 250 ms (the default of Links.Quiet) an entry still counts a link that its agent has abandoned or that has gone silent, and
+	// a check reads the entries one after another while links may be moving between them.
 	stablePeriod = 300 * time.Millisecond
 )
 
-// await waits until all agents are linked to all entries and have their upstreams, and stay so.
-func (s *Cluster) awaitLinked() error {
-	if !staysLinked(s.allLinked, time.Now().Add(startTimeout)) {
-		return errors.New("embedded: the set did not come up")
+// awaitLinked waits until allLinked has held for stablePeriod. It returns an error after startTimeout.
+func (c *Cluster) awaitLinked() error {
+	if !staysLinked(c.allLinked, time.Now().Add(startTimeout)) {
+		return errors.Errorf("embedded: the cluster did not come up within %v", startTimeout)
 	}
 	return nil
 }
 
-// staysLinked looks again and again, and tells whether all looks of a while found the set linked before a moment.
+// staysLinked polls linked and reports whether it returned true at every check for stablePeriod before the time until.
 func staysLinked(linked func() bool, until time.Time) bool {
 	since := time.Now()
 	for now := since; now.Before(until); now = time.Now() {
@@ -264,33 +272,34 @@
 	return false
 }
 
-func (s *Cluster) allLinked() bool {
-	for _, e := range s.Entries {
-		if ready, _ := e.Node.Ready(); !ready || e.Node.UpstreamsReady() < s.options.Agents {
+// allLinked reports whether every entry is ready and has as many ready upstreams as the cluster has agents.
+func (c *Cluster) allLinked() bool {
+	for _, e := range c.Entries {
+		if ready, _ := e.Node.Ready(); !ready || e.Node.UpstreamsReady() < c.options.Agents {
 			return false
 		}
 	}
 	return true
 }
 
-// Callers lists the addresses of the entries' own APIs.
-func (s *Cluster) Callers() []string {
+// Callers returns the address of each entry's own API for callers.
+func (c *Cluster) Callers() []string {
 	var out []string
-	for _, e := range s.Entries {
+	for _, e := range c.Entries {
 		out = append(out, e.Callers.Address())
 	}
 	return out
 }
 
-// Stop ends everything at once.
-func (s *Cluster) Stop() {
-	for _, e := range s.Entries {
+// Stop stops all processes, stand-ins and servers immediately, without draining.
+func (c *Cluster) Stop() {
+	for _, e := range c.Entries {
 		e.Stop()
 	}
-	for _, a := range s.Agents {
+	for _, a := range c.Agents {
 		a.Stop()
 	}
-	for _, stop := range s.stops {
+	for _, stop := range c.stops {
 		stop()
 	}
 }
--- a/internal/standin/embedded/embedded_test.go
+++ b/internal/standin/embedded/embedded_test.go
@@ -21,33 +21,35 @@
 	"hillreel/platform/standin"
 )
 
+// start starts a cluster that is stopped at the end of the test. The test fails if the ledger has recorded a violation by then.
 func start(t *testing.T, entries, agents int) *embedded.Cluster {
-	set, err := embedded.Start(embedded.Options{
+	cluster, err := embedded.Start(embedded.Options{
 		Entries: entries, Agents: agents, Cores: 4, Service: "publish", Log: logs.Discard(),
-		Adjust: unhurried,
+		Adjust: relaxTimes,
 	})
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() {
-		set.Stop()
-		qt.Assert(t, set.Ledger.Broken(), qt.HasLen, 0)
+		cluster.Stop()
+		qt.Assert(t, cluster.Ledger.Broken(), qt.HasLen, 0)
 	})
-	return set
+	return cluster
 }
 
-// unhurried has longer times: race detector and other tests slow the processes down. The times keep their proportions.
-func unhurried(_ string, s *settings.Settings) {
+// relaxTimes sets longer timeouts and leases in the same proportions, because the race detector and other tests slow the processes
+// down.
+func relaxTimes(_ string, s *settings.Settings) {
 	s.Links.KeepAlive, s.Links.Silence = 200*time.Millisecond, 800*time.Millisecond
 	s.Links.Lease, s.Agent.CallTimeout = 800*time.Millisecond, 300*time.Millisecond
 	s.Kept.Lease, s.Kept.Renew = 1500*time.Millisecond, 200*time.Millisecond
 }
 
-func newClient(t *testing.T, set *embedded.Cluster) *client.Client {
-	c, err := client.New(client.Options{Entries: set.Callers(), Attempts: 8})
+func newClient(t *testing.T, cluster *embedded.Cluster) *client.Client {
+	c, err := client.New(client.Options{Entries: cluster.Callers(), Attempts: 8})
 	qt.Assert(t, err, qt.IsNil)
 	return c
 }
 
-// job has two tasks of two cores; the objective leaves time for whatever a test breaks.
+// job returns a job of two tasks with two cores each. Its objective of 20 s leaves time to recover from the fault of a test.
 func job(runMs int64, spec string) api.Job {
 	return api.Job{
 		Service: "publish", Spec: spec, ObjectiveMs: 20_000,
@@ -55,7 +57,7 @@
 	}
 }
 
-// submitAll sends n jobs and returns their answers.
+// submitAll submits n copies of a job concurrently and returns how many jobs ended in each state.
 func submitAll(t *testing.T, c *client.Client, n int, j api.Job) map[api.State]int {
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -76,7 +78,7 @@
 	return states
 }
 
-// TestFaults: jobs complete whatever one part of the set does meanwhile.
+// TestFaults guards against jobs that fail or hang when a single part of the cluster fails while they run.
 func TestFaults(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -90,7 +92,7 @@
 		{"upstream hangs", func(s *embedded.Cluster) { s.Upstreams[0].Break(standin.UpstreamFault{Hang: true}) }},
 		{"upstream mute", func(s *embedded.Cluster) { s.Upstreams[0].Break(standin.UpstreamFault{Mute: true}) }},
 		{"upstream drains", func(s *embedded.Cluster) { s.Upstreams[0].Drain() }},
-		{"late heartbeats of an earlier life", func(s *embedded.Cluster) {
+		{"late heartbeats of an earlier incarnation", func(s *embedded.Cluster) {
 			for _, u := range s.Upstreams {
 				u.BeatOf(0)
 			}
@@ -101,29 +103,30 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			set := start(t, 2, 3)
-			c := newClient(t, set)
+			cluster := start(t, 2, 3)
+			c := newClient(t, cluster)
 			done := make(chan map[api.State]int, 1)
 			go func() { done <- submitAll(t, c, 20, job(100, `{"run_ms":100}`)) }()
 			time.Sleep(150 * time.Millisecond)
-			test.fault(set)
+			test.fault(cluster)
 			qt.Assert(t, <-done, qt.DeepEquals, map[api.State]int{verdict.Complete: 20})
 		})
 	}
 }
 
-// TestPoison: a job that fails everywhere is failed, and the upstreams that failed it go on taking work.
+// TestPoison guards against a job that fails at every upstream and makes all of them unavailable: the job must fail, and the upstreams
+// must keep accepting other work.
 func TestPoison(t *testing.T) {
-	set := start(t, 1, 4)
-	c := newClient(t, set)
+	cluster := start(t, 1, 4)
+	c := newClient(t, cluster)
 	qt.Assert(t, submitAll(t, c, 6, job(50, `{"run_ms":50,"fail":true}`)), qt.DeepEquals, map[api.State]int{verdict.Failed: 6})
 	qt.Assert(t, submitAll(t, c, 20, job(50, `{"run_ms":50}`)), qt.DeepEquals, map[api.State]int{verdict.Complete: 20})
 }
 
-// TestCallerGone: when its caller has gone, a job is stopped and its room is free again.
+// TestCallerGone guards against jobs that keep running, and keep their capacity, after their caller has disconnected.
 func TestCallerGone(t *testing.T) {
-	set := start(t, 1, 1)
-	c := newClient(t, set)
+	cluster := start(t, 1, 1)
+	c := newClient(t, cluster)
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	long := job(60_000, `{"run_ms":60000}`)
@@ -131,13 +134,14 @@
 	_, err := c.Submit(ctx, client.NewID(), long)
 	qt.Assert(t, err, qt.IsNotNil)
 	qt.Assert(t, submitAll(t, c, 1, job(50, `{"run_ms":50}`)), qt.DeepEquals, map[api.State]int{verdict.Complete: 1})
-	qt.Assert(t, set.Ledger.Running(), qt.Equals, 0)
+	qt.Assert(t, cluster.Ledger.Running(), qt.Equals, 0)
 }
 
-// TestOverload: what can't be in time is refused at once as not run, with when to come back.
+// TestOverload guards against overload that delays all jobs: a job that cannot meet its objective is refused at once with the verdict
+// not_run and a retry delay, and no task of it starts.
 func TestOverload(t *testing.T) {
-	set := start(t, 1, 1)
-	c := newClient(t, set)
+	cluster := start(t, 1, 1)
+	c := newClient(t, cluster)
 	j := job(400, `{"run_ms":400}`)
 	j.ObjectiveMs = 600
 	var mu sync.Mutex
@@ -161,17 +165,18 @@
 	group.Wait()
 	qt.Assert(t, states[verdict.Complete] >= 1, qt.IsTrue, qt.Commentf("%v", states))
 	qt.Assert(t, states[verdict.Refused] >= 5, qt.IsTrue, qt.Commentf("%v", states))
-	starts, done := set.Ledger.Counts()
+	starts, done := cluster.Ledger.Counts()
 	qt.Assert(t, starts, qt.Equals, done)
 	qt.Assert(t, done, qt.Equals, 2*states[verdict.Complete])
 }
 
-// TestConfigurationIsRelayed: an entry that the store turns away gets a new configuration through an agent.
+// TestConfigurationIsRelayed guards against an entry that keeps an outdated configuration because it cannot reach the store: it must
+// receive the new one through an agent.
 func TestConfigurationIsRelayed(t *testing.T) {
-	set := start(t, 1, 2)
-	late, err := set.StartEntry(1, "127.0.0.1:1")
+	cluster := start(t, 1, 2)
+	late, err := cluster.StartEntry(1, "127.0.0.1:1")
 	qt.Assert(t, err, qt.IsNil)
-	set.Configure(2)
+	cluster.Configure(2)
 	until := time.Now().Add(10 * time.Second)
 	for time.Now().Before(until) {
 		if r := late.Node.Routes(); r != nil && r.Version == 2 {
@@ -182,17 +187,18 @@
 	t.Fatal("the configuration did not arrive")
 }
 
-// TestHistoryForgotten: when the store forgets its history, the whole table is read again.
+// TestHistoryForgotten guards against missed configuration changes after the store has dropped its change history: the entry must read
+// the whole table again.
 func TestHistoryForgotten(t *testing.T) {
-	set := start(t, 1, 1)
-	set.Store.Break(standin.Fault{Busy: true})
+	cluster := start(t, 1, 1)
+	cluster.Store.Break(standin.Fault{Busy: true})
 	time.Sleep(100 * time.Millisecond)
-	set.Configure(2)
-	set.Store.Forget()
-	set.Store.Break(standin.Fault{})
+	cluster.Configure(2)
+	cluster.Store.Forget()
+	cluster.Store.Break(standin.Fault{})
 	until := time.Now().Add(10 * time.Second)
 	for time.Now().Before(until) {
-		if set.Entries[0].Node.Routes().Version == 2 {
+		if cluster.Entries[0].Node.Routes().Version == 2 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -200,9 +206,9 @@
 	t.Fatal("the configuration did not arrive")
 }
 
-// TestFrontStatuses: what the platform's clients hear.
+// TestFrontStatuses checks the statuses and bodies that the platform's clients get.
 func TestFrontStatuses(t *testing.T) {
-	set := start(t, 1, 1)
+	cluster := start(t, 1, 1)
 	const good = `{"spec":"{\"run_ms\":20}","best_effort":true,"phases":[{"count":1,"cpu":1000,"estimate_ms":20}]}`
 	for _, test := range []struct {
 		name, method, host, path, body string
@@ -218,7 +224,7 @@
 		{"not JSON", "POST", "jobs.example", "/jobs/00000000000000aa", "{", 400, "bad_job"},
 		{"no steps", "POST", "jobs.example", "/jobs/00000000000000aa", `{"best_effort":true}`, 400, "phases"},
 		{"count", "POST", "jobs.example", "/jobs/00000000000000aa", `{"best_effort":true,"phases":[{"count":0}]}`, 400, `phases[0]: count`},
-		{"a step after itself", "POST", "jobs.example", "/jobs/00000000000000aa", `{"best_effort":true,"phases":[{"count":1,"after_rev":[0]}]}`, 400, "after_rev"},
+		{"a step that depends on itself", "POST", "jobs.example", "/jobs/00000000000000aa", `{"best_effort":true,"phases":[{"count":1,"after_rev":[0]}]}`, 400, "after_rev"},
 		{"spec too long", "POST", "jobs.example", "/jobs/00000000000000aa", `{"spec":"` + strings.Repeat("x", 4001) + `","phases":[{"count":1}]}`, 400, "spec"},
 		{"a gang", "POST", "jobs.example", "/jobs/00000000000000ac", `{"best_effort":true,"phases":[{"count":2,"gang":true}]}`, 503, "unsupported"},
 		{"a job to keep", "POST", "jobs.example", "/jobs/00000000000000ad", strings.Replace(good, `"best_effort":true,`, "", 1), 200, `{"state":"pending"}`},
@@ -236,7 +242,7 @@
 		{"method", "PATCH", "jobs.example", "/jobs/00000000000000aa", "", 405, "bad_method"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			req, err := http.NewRequest(test.method, "http://"+set.Entries[0].Front.Address()+test.path, strings.NewReader(test.body))
+			req, err := http.NewRequest(test.method, "http://"+cluster.Entries[0].Front.Address()+test.path, strings.NewReader(test.body))
 			qt.Assert(t, err, qt.IsNil)
 			req.Host = test.host
 			res, err := http.DefaultClient.Do(req)
@@ -253,36 +259,36 @@
 	}
 }
 
-// TestKeptJobs: a job that is to be kept completes though the entry that took it has gone for good, and though the store
-// is away for a while; any entry tells its state, and any entry cancels it.
+// TestKeptJobs guards against the loss of accepted jobs that are to be kept: such a job must complete even if the entry that accepted
+// it never comes back or the store is unavailable for a while. Every entry must be able to return its state and to cancel it.
 func TestKeptJobs(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		runMs int64
-		fault func(set *embedded.Cluster)
+		fault func(cluster *embedded.Cluster)
 		end   func(c *client.Client, id string) (*api.Answer, error)
 		want  api.State
 	}{
 		{"nothing goes wrong", 100, func(*embedded.Cluster) {}, nil, verdict.Complete},
-		{"its entry ends", 1500, func(set *embedded.Cluster) { set.Entries[0].Stop() }, nil, verdict.Complete},
-		{"the store is away", 1500, func(set *embedded.Cluster) {
-			set.Store.Break(standin.Fault{Silent: true})
+		{"its entry ends", 1500, func(cluster *embedded.Cluster) { cluster.Entries[0].Stop() }, nil, verdict.Complete},
+		{"the store is unavailable", 1500, func(cluster *embedded.Cluster) {
+			cluster.Store.Break(standin.Fault{Silent: true})
 			time.Sleep(2500 * time.Millisecond)
-			set.Store.Break(standin.Fault{})
+			cluster.Store.Break(standin.Fault{})
 		}, nil, verdict.Complete},
-		{"an upstream crashes", 1000, func(set *embedded.Cluster) {
+		{"an upstream crashes", 1000, func(cluster *embedded.Cluster) {
 			time.Sleep(300 * time.Millisecond)
-			set.Upstreams[0].Crash()
+			cluster.Upstreams[0].Crash()
 		}, nil, verdict.Complete},
 		{"another entry cancels it", 60_000, func(*embedded.Cluster) {}, func(c *client.Client, id string) (*api.Answer, error) {
 			return c.Cancel(context.Background(), id)
 		}, verdict.Cancelled},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			set := start(t, 2, 3)
+			cluster := start(t, 2, 3)
 			clients := make([]*client.Client, 2)
 			for i := range clients {
-				c, err := client.New(client.Options{Entries: set.Callers()[i : i+1], Attempts: 8})
+				c, err := client.New(client.Options{Entries: cluster.Callers()[i : i+1], Attempts: 8})
 				qt.Assert(t, err, qt.IsNil)
 				clients[i] = c
 			}
@@ -291,7 +297,7 @@
 			a, err := clients[0].Submit(context.Background(), id, j)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Assert(t, a.State, qt.Equals, verdict.Accepted)
-			test.fault(set)
+			test.fault(cluster)
 			if test.end != nil {
 				_, err := test.end(clients[1], id)
 				qt.Assert(t, err, qt.IsNil)
@@ -303,24 +309,25 @@
 				qt.Assert(t, err, qt.IsNil)
 			}
 			qt.Assert(t, a.State, qt.Equals, test.want)
-			for set.Ledger.Running() > 0 && time.Now().Before(until) {
+			for cluster.Ledger.Running() > 0 && time.Now().Before(until) {
 				time.Sleep(20 * time.Millisecond)
 			}
-			qt.Assert(t, set.Ledger.Running(), qt.Equals, 0)
+			qt.Assert(t, cluster.Ledger.Running(), qt.Equals, 0)
 		})
 	}
 }
 
-// TestFewUpstreamsAreKnownEverywhere: agents link to two entries of four here, but a service with few upstreams is asked for
-// by all entries, so that each knows all of them. A set has not come up before that.
+// TestFewUpstreamsAreKnownEverywhere guards against an entry that cannot place jobs of a service with few upstreams. Agents link to two
+// of the four entries here, but each entry must request links until it knows all upstreams of such a service. The cluster does not
+// count as up before that.
 func TestFewUpstreamsAreKnownEverywhere(t *testing.T) {
-	set, err := embedded.Start(embedded.Options{
+	cluster, err := embedded.Start(embedded.Options{
 		Entries: 4, Agents: 3, Cores: 4, Service: "publish", Log: logs.Discard(),
 		Adjust: func(_ string, s *settings.Settings) { s.Links.Entries = 2 },
 	})
 	qt.Assert(t, err, qt.IsNil)
-	defer set.Stop()
-	for _, e := range set.Entries {
+	defer cluster.Stop()
+	for _, e := range cluster.Entries {
 		qt.Assert(t, e.Node.Upstreams(), qt.HasLen, 3)
 	}
 }
--- a/internal/standin/embedded/restart_test.go
+++ b/internal/standin/embedded/restart_test.go
@@ -15,25 +15,27 @@
 	"hillreel/platform/standin"
 )
 
-// The incident: an upstream crashed, started again under the id that it had, and later said that it would leave. Its agent
-// acknowledged that and went on starting tasks there until the upstream ended. Before, tasks that had ended well there were
-// taken for lost and done again elsewhere, some seven times.
+// The tests of this file guard against an agent that does not notice a restart of its upstream under the same id.
 //
-// The cause: an agent told lives of its upstream apart by the id alone. It went on with the account of the life before, so that
-// the new life's heartbeats, numbered from 1 again, were dropped as overtaken, and ends numbered from 1 again were acknowledged
-// before they were listed. What proved it: as many runs were lost after a restart as ends had been taken in before it, 317
-// and 317, 4 and 4, and the agent's log has no change of state when the upstream said that it leaves.
+// The fault: an agent distinguished incarnations of its upstream by the id alone and continued with the state of the previous
+// incarnation. The new incarnation numbers its heartbeats and its run ends from 1 again, so its heartbeats were dropped as outdated,
+// and its ends were acknowledged before it had listed them.
+//
+// The effects in the incident that showed the fault: after a restart, the agent lost exactly as many runs as it had received ends before (317 and 317,
+// 4 and 4). Tasks that had completed there were taken as lost and repeated elsewhere, some of them seven times. When the upstream
+// announced that it would leave, the agent acknowledged the announcement without a change of state in its log, and kept starting
+// tasks there until the upstream ended.
 
-// tasksPerJob is how many starts a job takes whose tasks are all done once.
+// tasksPerJob is the number of tasks of a job, and so the number of starts if every task runs exactly once.
 const tasksPerJob = 2
 
-// longest is how long a job may take: where none of its ends is heard of it would wait for ever.
-const longest = 5 * time.Second
+// jobTimeout bounds how long a job may take. Without it, a job whose run ends never reach the entry would wait forever.
+const jobTimeout = 5 * time.Second
 
-// complete sends n jobs, one after the other, and wants all of them complete.
-func complete(t *testing.T, c *client.Client, n int) {
+// completeJobs submits n jobs one after another and requires each to complete.
+func completeJobs(t *testing.T, c *client.Client, n int) {
 	for range n {
-		ctx, cancel := context.WithTimeout(context.Background(), longest)
+		ctx, cancel := context.WithTimeout(context.Background(), jobTimeout)
 		a, err := c.Submit(ctx, client.NewID(), job(20, `{"run_ms":20}`))
 		cancel()
 		qt.Assert(t, err, qt.IsNil)
@@ -41,39 +43,40 @@
 	}
 }
 
-// startsAt returns how many runs have started at the first upstream.
-func startsAt(set *embedded.Cluster) int { return set.Ledger.StartsAt(0) }
+// startsAtFirst returns how many runs have started at the first upstream.
+func startsAtFirst(cluster *embedded.Cluster) int { return cluster.Ledger.StartsAt(0) }
 
-// TestUpstreamThatStartsAgainLeaves: an upstream that has started again under its id says that it leaves, and nothing starts
-// there any more.
+// TestUpstreamThatStartsAgainLeaves guards against tasks that start at an upstream after it has announced that it leaves, because its
+// agent took the announcement for an outdated heartbeat of the incarnation before the restart.
 func TestUpstreamThatStartsAgainLeaves(t *testing.T) {
-	set := start(t, 1, 2)
-	c := newClient(t, set)
-	time.Sleep(3 * time.Second) // heartbeats of the first life get numbers that the second does not reach below
-	complete(t, c, 4)
-	set.Upstreams[0].Restart(0)
+	cluster := start(t, 1, 2)
+	c := newClient(t, cluster)
+	time.Sleep(3 * time.Second) // the first incarnation sends more heartbeats than the second one will
+	completeJobs(t, c, 4)
+	cluster.Upstreams[0].Restart(0)
 	time.Sleep(500 * time.Millisecond)
-	set.Upstreams[0].Drain()
+	cluster.Upstreams[0].Drain()
 	time.Sleep(500 * time.Millisecond) // two heartbeats
-	before := startsAt(set)
+	before := startsAtFirst(cluster)
 	for range 6 {
-		// With its two tasks side by side a job takes both upstreams where both are offered.
-		ctx, cancel := context.WithTimeout(context.Background(), longest)
+		// The two tasks of a job run in parallel, so a job uses both upstreams if both are available.
+		ctx, cancel := context.WithTimeout(context.Background(), jobTimeout)
 		_, err := c.Submit(ctx, client.NewID(), job(20, `{"run_ms":20}`))
 		cancel()
 		qt.Check(t, err, qt.IsNil)
 	}
-	qt.Assert(t, startsAt(set)-before, qt.Equals, 0)
+	qt.Assert(t, startsAtFirst(cluster)-before, qt.Equals, 0)
 }
 
-// TestUpstreamThatStartsAgainEndsRuns: what ends well at an upstream that has started again under its id is done, once.
+// TestUpstreamThatStartsAgainEndsRuns guards against tasks that are repeated although they completed at an upstream that had restarted
+// under the same id: each task must start exactly once.
 func TestUpstreamThatStartsAgainEndsRuns(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		restart func(u *standin.Upstream)
 	}{
 		{"at once", func(u *standin.Upstream) { u.Restart(0) }},
-		{"after it was away", func(u *standin.Upstream) {
+		{"after a time without answers or heartbeats", func(u *standin.Upstream) {
 			u.Break(standin.UpstreamFault{Mute: true})
 			time.Sleep(2 * time.Second)
 			u.Restart(0)
@@ -86,7 +89,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		}},
-		{"after it has left, and its word that it has ended comes late", func(u *standin.Upstream) {
+		{"after it has left, with a late notice of its end", func(u *standin.Upstream) {
 			u.Leave(500*time.Millisecond, 100*time.Millisecond, 500*time.Millisecond)
 			time.Sleep(1500 * time.Millisecond)
 		}},
@@ -98,42 +101,42 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			set := start(t, 1, 1)
-			c := newClient(t, set)
-			complete(t, c, 12)
-			test.restart(set.Upstreams[0])
+			cluster := start(t, 1, 1)
+			c := newClient(t, cluster)
+			completeJobs(t, c, 12)
+			test.restart(cluster.Upstreams[0])
 			time.Sleep(time.Second)
-			before, _ := set.Ledger.Counts()
-			complete(t, c, 6)
-			starts, _ := set.Ledger.Counts()
+			before, _ := cluster.Ledger.Counts()
+			completeJobs(t, c, 6)
+			starts, _ := cluster.Ledger.Counts()
 			qt.Assert(t, starts-before, qt.Equals, 6*tasksPerJob)
 		})
 	}
 }
 
-// TestUpstreamEndsLate guards against tasks that run at two upstreams because the word that an upstream has ended was taken for its end:
-// it runs on for a while where that word is not acknowledged.
+// TestUpstreamEndsLate guards against tasks that run at two upstreams because an upstream's notice that it has ended was taken as its
+// actual end: an upstream whose notice is not acknowledged keeps running for a while.
 func TestUpstreamEndsLate(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		unborn bool
+		name     string
+		omitBorn bool
 	}{
-		{"it tells when its life began", false},
-		{"it does not", true},
+		{"heartbeats contain the start time of the incarnation", false},
+		{"heartbeats contain no start time", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			set, err := embedded.Start(embedded.Options{
-				Entries: 2, Agents: 4, Cores: 8, Service: "publish", Log: logs.Discard(), Adjust: unhurried, OmitBorn: test.unborn,
+			cluster, err := embedded.Start(embedded.Options{
+				Entries: 2, Agents: 4, Cores: 8, Service: "publish", Log: logs.Discard(), Adjust: relaxTimes, OmitBorn: test.omitBorn,
 			})
 			qt.Assert(t, err, qt.IsNil)
-			t.Cleanup(set.Stop)
+			t.Cleanup(cluster.Stop)
 			done := make(chan map[api.State]int, 1)
-			go func() { done <- submitAll(t, newClient(t, set), 6, job(600, `{"run_ms":600}`)) }()
+			go func() { done <- submitAll(t, newClient(t, cluster), 6, job(600, `{"run_ms":600}`)) }()
 			time.Sleep(200 * time.Millisecond)
-			set.Upstreams[0].End(400 * time.Millisecond)
+			cluster.Upstreams[0].End(400 * time.Millisecond)
 			qt.Assert(t, <-done, qt.DeepEquals, map[api.State]int{verdict.Complete: 6})
-			qt.Assert(t, set.Ledger.Broken(), qt.HasLen, 0)
+			qt.Assert(t, cluster.Ledger.Broken(), qt.HasLen, 0)
 		})
 	}
 }
--- a/internal/standin/embedded/silence_test.go
+++ b/internal/standin/embedded/silence_test.go
@@ -15,13 +15,14 @@
 	"hillreel/internal/standin/silence"
 )
 
-// proxies are those of a set, by the kind of connections.
+// proxies holds the proxies of a cluster by kind of connection.
 type proxies struct {
 	mu  sync.Mutex
 	all map[embedded.ConnKind][]*silence.Proxy
 }
 
-func (p *proxies) through(t *testing.T) func(embedded.ConnKind, string) string {
+// add returns a function for embedded.Options.Proxy that starts a proxy for an address and records it.
+func (p *proxies) add(t *testing.T) func(embedded.ConnKind, string) string {
 	return func(kind embedded.ConnKind, address string) string {
 		x, err := silence.New(loopback.Draw(loopback.Embedded, 7400), address)
 		qt.Assert(t, err, qt.IsNil)
@@ -33,7 +34,7 @@
 	}
 }
 
-// silence makes all open connections of some kinds silent for good.
+// silence permanently silences all open connections of the given kinds, and requires at least one of each kind.
 func (p *proxies) silence(t *testing.T, kinds ...embedded.ConnKind) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,14 +45,15 @@
 			qt.Check(t, err, qt.IsNil)
 			n += k
 		}
-		qt.Check(t, n > 0, qt.IsTrue, qt.Commentf("no connection of %s is open", kind))
+		qt.Check(t, n > 0, qt.IsTrue, qt.Commentf("no open connection of kind %s", kind))
 	}
 }
 
-// TestSilence: open connections that fall silent for good cost no run, alone or together, as long as new ones work.
+// TestSilence guards against runs that are lost when open connections go permanently silent, of one kind or of all kinds at once,
+// although new connections work.
 //
-// One set at a time: side by side beside other load, five sets of six nodes and their proxies in one process with the race detector
-// leave a hold unanswered for more than 400 ms, and a lease of 800 ms lapses without any fault.
+// The subtests do not run in parallel. Five clusters of six nodes and their proxies in one process, with the race detector and beside
+// other load, leave a hold call unanswered for more than 400 ms, and then a lease of 800 ms expires without any fault.
 func TestSilence(t *testing.T) {
 	all := []embedded.ConnKind{embedded.ConnLink, embedded.ConnUpstream, embedded.ConnHeartbeats, embedded.ConnStore}
 	for _, test := range []struct {
@@ -63,22 +65,22 @@
 		t.Run(test.name, func(t *testing.T) {
 			const jobs = 24
 			p := &proxies{all: make(map[embedded.ConnKind][]*silence.Proxy)}
-			set, err := embedded.Start(embedded.Options{
-				Entries: 2, Agents: 4, Cores: 16, Service: "publish", Log: logs.Discard(), Adjust: unhurried, Proxy: p.through(t),
+			cluster, err := embedded.Start(embedded.Options{
+				Entries: 2, Agents: 4, Cores: 16, Service: "publish", Log: logs.Discard(), Adjust: relaxTimes, Proxy: p.add(t),
 			})
 			qt.Assert(t, err, qt.IsNil)
-			t.Cleanup(set.Stop)
-			c := newClient(t, set)
+			t.Cleanup(cluster.Stop)
+			c := newClient(t, cluster)
 			done := make(chan map[api.State]int, 1)
 			began := time.Now()
 			go func() { done <- submitAll(t, c, jobs, job(3000, `{"run_ms":3000}`)) }()
 			time.Sleep(time.Second)
 			p.silence(t, test.kinds...)
 			qt.Assert(t, <-done, qt.DeepEquals, map[api.State]int{verdict.Complete: jobs})
-			starts, _ := set.Ledger.Counts()
-			t.Logf("%d of %d runs lost, all done after %v", starts-2*jobs, 2*jobs, time.Since(began))
+			starts, _ := cluster.Ledger.Counts()
+			t.Logf("%d of %d runs lost, all jobs complete after %v", starts-2*jobs, 2*jobs, time.Since(began))
 			qt.Check(t, starts, qt.Equals, 2*jobs)
-			qt.Assert(t, set.Ledger.Broken(), qt.HasLen, 0)
+			qt.Assert(t, cluster.Ledger.Broken(), qt.HasLen, 0)
 		})
 	}
 }
