--- a/internal/proof/soak/callers_test.go
+++ b/internal/proof/soak/callers_test.go
@@ -13,27 +13,27 @@
 	"time"
 )
 
-// resend is the pause before a job whose answer was lost is sent again.
+// resendPause is the pause before a caller sends a job again whose answer was lost.
 const resendPause = 1300 * time.Millisecond
 
-// job is one job with what its caller has heard.
+// job is one job with the answers that its caller has received.
 type job struct {
 	id    string
 	tasks int
 	runMs int
-	// answers are the statuses of its attempts; 0 is none.
+	// answers holds the HTTP status of each attempt, or 0 for an attempt without an answer. state is the body of the last answer.
 	answers    []int
 	state      string
 	callerLeft bool
-	// kept: the job is answered once it is stored, and must complete whatever happens then.
+	// kept: the job is answered as soon as it is stored, and must then complete whatever happens.
 	kept bool
-	// crash: its tasks crash upstreams.
+	// crash: the task of the job crashes every upstream that starts it.
 	crash bool
 }
 
-// callers sends jobs and keeps what came of them. Connections stay open until their entry is gone. A silent one is waited for as
-// long as the entry was told: callers send no probes, and one that learned of the silence earlier than the entry could send its
-// job again while that runs it.
+// callers sends jobs and records their answers. Connections stay open until their entry is gone. On a silent connection, a caller waits
+// as long as the deadline that it gave the entry. Callers send no keep-alive probes: a caller that noticed the silence before the
+// entry did could send its job again while the entry still runs it.
 type callers struct {
 	cluster *cluster
 	http    *http.Client
@@ -42,16 +42,16 @@
 	wait    sync.WaitGroup
 }
 
-func newCallers(s *cluster) *callers {
+func newCallers(cl *cluster) *callers {
 	dialer := &net.Dialer{Timeout: 500 * time.Millisecond, KeepAlive: -1}
-	return &callers{cluster: s, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, DialContext: dialer.DialContext}}}
+	return &callers{cluster: cl, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, DialContext: dialer.DialContext}}}
 }
 
-// crashOdds: one job in so many has a task that crashes the upstreams that start it.
+// crashOneIn: one job in this many has a task that crashes every upstream that starts it.
 const crashOneIn = 80
 
-// submit sends one job, and again to another entry while its answer is lost. patience is how long each answer is
-// waited for; leave is when the caller breaks off for good, zero is never.
+// submit sends one job, and sends it again to another entry while the answer is lost, in up to four attempts. patience is how long the
+// caller waits for each answer. A leave other than zero is the time after which the caller disconnects and does not try again.
 func (c *callers) submit(rng *rand.Rand, patience, leave time.Duration) {
 	id := rng.Uint64()
 	j := &job{id: fmt.Sprintf("%016x", id), tasks: 1 + rng.IntN(4), runMs: 20 + rng.IntN(300), callerLeft: leave > 0}
@@ -85,7 +85,8 @@
 	})
 }
 
-// send makes one attempt and returns its status, or 0 without an answer.
+// send makes one attempt to submit a job. It returns the status, or 0 without an answer, and the body. limit is how long the caller
+// waits; patience is the deadline that the entry is told.
 func (c *callers) send(j *job, e *process, limit, patience time.Duration) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -93,7 +94,8 @@
 	return c.request(ctx, http.MethodPost, e, j, body, patience)
 }
 
-// call makes one call about a job and returns its status, or 0 without an answer.
+// request makes one HTTP request about a job and returns the status, or 0 without an answer, and the body. patience is the deadline
+// that the entry is told.
 func (c *callers) request(ctx context.Context, method string, e *process, j *job, body string, patience time.Duration) (int, string) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.front.address()+"/jobs/"+j.id, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -103,7 +105,7 @@
 	req.Header.Set("Deadline-Ms", fmt.Sprint(patience.Milliseconds()))
 	res, err := c.http.Do(req)
 	if err != nil {
-		c.http.CloseIdleConnections() // others may be silent too
+		c.http.CloseIdleConnections() // other idle connections may be silent too
 		return 0, ""
 	}
 	defer res.Body.Close()
@@ -114,13 +116,13 @@
 	return res.StatusCode, string(raw)
 }
 
-// check compares what callers have heard with what upstreams have done.
+// checkAnswers compares the answers that callers received with what the upstreams ran, and returns the contradictions.
 func (c *callers) checkAnswers() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
 	for _, j := range c.jobs {
-		begun, done := c.cluster.ledger.Job(j.id)
+		started, done := c.cluster.ledger.Job(j.id)
 		last, refused := 0, true
 		for _, a := range j.answers {
 			last = a
@@ -128,19 +130,20 @@
 		}
 		switch {
 		case strings.Contains(j.state, "failed") && !c.cluster.ledger.MayFail(j.id):
-			out = append(out, fmt.Sprintf("job %s is called failed, and nothing of it has failed or crashed upstreams often enough", j.id))
+			out = append(out, fmt.Sprintf("job %s was answered as failed, but no task of it failed or crashed enough upstreams", j.id))
 		case strings.Contains(j.state, "completed") && done < j.tasks:
-			out = append(out, fmt.Sprintf("job %s is called complete with %d of %d tasks done", j.id, done, j.tasks))
-		case last == http.StatusServiceUnavailable && refused && begun > 0:
-			out = append(out, fmt.Sprintf("job %s was refused each time, and %d runs of it began", j.id, begun))
+			out = append(out, fmt.Sprintf("job %s was answered as complete with %d of %d tasks done", j.id, done, j.tasks))
+		case last == http.StatusServiceUnavailable && refused && started > 0:
+			out = append(out, fmt.Sprintf("job %s was refused at every attempt, but %d runs of it started", j.id, started))
 		case last != 0 && last != http.StatusOK && last != http.StatusServiceUnavailable && last != http.StatusGatewayTimeout:
-			out = append(out, fmt.Sprintf("job %s is answered %d", j.id, last))
+			out = append(out, fmt.Sprintf("job %s was answered with unexpected status %d", j.id, last))
 		}
 	}
 	return out
 }
 
-// checkKept asks for the states of the jobs that were accepted, until they have completed or the time is up.
+// checkKept polls the states of the accepted jobs until each has completed or failed, or until the given time. It returns the jobs that
+// did not end by then, and those whose final state contradicts what the upstreams ran.
 func (c *callers) checkKept(until time.Time) []string {
 	var out []string
 	for _, j := range c.jobs {
@@ -150,7 +153,7 @@
 		state := ""
 		for i := 0; !strings.Contains(state, "completed") && !strings.Contains(state, "failed"); i++ {
 			if time.Now().After(until) {
-				out = append(out, fmt.Sprintf("job %s was accepted, and its state is %q", j.id, state))
+				out = append(out, fmt.Sprintf("job %s was accepted but has not ended: its state is %q", j.id, state))
 				break
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -158,16 +161,16 @@
 			cancel()
 		}
 		if strings.Contains(state, "failed") && !c.cluster.ledger.MayFail(j.id) {
-			out = append(out, fmt.Sprintf("job %s is shown as failed, and nothing of it has failed or crashed upstreams often enough", j.id))
+			out = append(out, fmt.Sprintf("job %s has state failed, but no task of it failed or crashed enough upstreams", j.id))
 		}
 		if _, done := c.cluster.ledger.Job(j.id); strings.Contains(state, "completed") && done < j.tasks {
-			out = append(out, fmt.Sprintf("job %s is shown as complete with %d of %d tasks done", j.id, done, j.tasks))
+			out = append(out, fmt.Sprintf("job %s has state completed with %d of %d tasks done", j.id, done, j.tasks))
 		}
 	}
 	return out
 }
 
-// counts says how the jobs ended.
+// counts returns how many jobs ended in which way: by their answers, or because the caller left.
 func (c *callers) counts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/proof/soak/doc.go
+++ b/internal/proof/soak/doc.go
@@ -1,3 +1,3 @@
-// Package soak runs the real programs as separate processes on loopback, injects faults from outside them at random,
-// and checks hillreel's promises by what callers and upstreams see. It has tests only.
+// Package soak runs the real programs as separate processes on loopback, injects random faults from the outside, and checks
+// hillreel's guarantees against what callers and upstreams observe. The package consists of tests only.
 package soak
--- a/internal/proof/soak/evacuate_test.go
+++ b/internal/proof/soak/evacuate_test.go
@@ -7,74 +7,75 @@
 )
 
 const (
-	// cordonEvery is the mean pause between two requests of the operators.
+	// cordonInterval is the mean pause between two evacuation requests.
 	cordonInterval = 800 * time.Millisecond
-	// cordonBound is how long after a request, when all faults are over, nothing may start in the zone any more: the platform's
-	// bound on configuration, 5 s.
+	// cordonBound is the time within which a request must take effect when all faults are over: after it, nothing may start in an
+	// evacuated zone. It is the platform's bound for configuration changes, 5 s.
 	cordonBound = 5 * time.Second
-	// afterCordon is how many jobs are sent then, one after the other.
+	// jobsAfterCordon is the number of jobs sent after cordonBound, one after another, to check the evacuation.
 	jobsAfterCordon = 20
 )
 
-// evacuate asks that nothing more be sent to a zone, or takes that back, or puts a row of another writer beside such requests.
-func (s *cluster) changeEvacuations(rng *rand.Rand) string {
+// changeEvacuations requests or cancels the evacuation of a zone, or overwrites the request with an unreadable row of another writer. It
+// returns a description for the log.
+func (cl *cluster) changeEvacuations(rng *rand.Rand) string {
 	zone := zoneOf(rng.IntN(zones))
 	switch rng.IntN(8) {
 	case 0, 1, 2:
-		s.store.Evacuate(zone)
+		cl.store.Evacuate(zone)
 		return "evacuate " + zone
 	case 3, 4, 5:
-		s.store.TakeBack(zone)
-		return "take " + zone + " back"
+		cl.store.TakeBack(zone)
+		return "cancel the evacuation of " + zone
 	case 6:
-		s.store.TakeBack(zone)
-		s.store.Evacuate(zone)
-		s.store.Forget()
-		return "take " + zone + " back, evacuate it again and forget the history"
+		cl.store.TakeBack(zone)
+		cl.store.Evacuate(zone)
+		cl.store.Forget()
+		return "cancel the evacuation of " + zone + ", evacuate it again and drop the history"
 	}
-	s.store.Put("op", "evacuate/"+zone, []byte("\xff"))
-	return "an unreadable request to evacuate " + zone
+	cl.store.Put("op", "evacuate/"+zone, []byte("\xff"))
+	return "write an unreadable request to evacuate " + zone
 }
 
-// leaveOneZone takes back all requests but one, and returns its zone.
-func (s *cluster) leaveOneZoneEvacuated(rng *rand.Rand) string {
+// leaveOneZoneEvacuated cancels all evacuations, evacuates one zone, and returns its name.
+func (cl *cluster) leaveOneZoneEvacuated(rng *rand.Rand) string {
 	for i := range zones {
-		s.store.TakeBack(zoneOf(i))
+		cl.store.TakeBack(zoneOf(i))
 	}
 	zone := zoneOf(rng.IntN(zones))
-	s.store.Evacuate(zone)
+	cl.store.Evacuate(zone)
 	return zone
 }
 
-// startsIn counts the starts in a zone.
-func (s *cluster) startsIn(zone string) int {
+// startsIn returns how many runs have started in a zone.
+func (cl *cluster) startsIn(zone string) int {
 	n := 0
-	for i, a := range s.agents {
+	for i, a := range cl.agents {
 		if a.zone == zone {
-			n += s.ledger.StartsAtNamed(upstreamName(i))
+			n += cl.ledger.StartsAtNamed(upstreamName(i))
 		}
 	}
 	return n
 }
 
-// checkEvacuated checks, when all faults are over, that nothing starts in the zone that is left evacuated, and that work comes back to it
-// when the request is taken back.
-func (s *cluster) checkEvacuated(zone string) []string {
+// checkEvacuated checks, when all faults are over, that nothing starts in the evacuated zone, and that runs start there again after the
+// evacuation is cancelled. It returns the problems found.
+func (cl *cluster) checkEvacuated(zone string) []string {
 	time.Sleep(cordonBound)
-	before := s.startsIn(zone)
-	if why := probeIdle(s, jobsAfterCordon); why != "" {
+	before := cl.startsIn(zone)
+	if why := probeIdle(cl, jobsAfterCordon); why != "" {
 		return []string{"with " + zone + " evacuated: " + why}
 	}
-	if n := s.startsIn(zone) - before; n > 0 {
+	if n := cl.startsIn(zone) - before; n > 0 {
 		return []string{fmt.Sprintf("%d starts in %s, which is evacuated", n, zone)}
 	}
-	s.store.TakeBack(zone)
-	for until := time.Now().Add(cordonBound); s.startsIn(zone) == before; {
+	cl.store.TakeBack(zone)
+	for until := time.Now().Add(cordonBound); cl.startsIn(zone) == before; {
 		if time.Now().After(until) {
-			return []string{"nothing starts in " + zone + " after it was taken back"}
+			return []string{fmt.Sprintf("nothing starts in %s within %v after its evacuation was cancelled", zone, cordonBound)}
 		}
-		if why := probeIdle(s, 1); why != "" {
-			return []string{"after " + zone + " was taken back: " + why}
+		if why := probeIdle(cl, 1); why != "" {
+			return []string{"after the evacuation of " + zone + " was cancelled: " + why}
 		}
 	}
 	return nil
--- a/internal/proof/soak/proxy_test.go
+++ b/internal/proof/soak/proxy_test.go
@@ -10,22 +10,23 @@
 	"hillreel/internal/standin/silence"
 )
 
-// proxy passes connections on, and can hold them up, silence them in either direction, or reset them.
+// proxy forwards TCP connections. It can delay data, hold it back in either direction, silence connections permanently, or reset them.
 type proxy struct {
 	ln     net.Listener
 	target string
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
+	// delay is added to each chunk of data in either direction.
 	delay time.Duration
-	// mute holds back what goes towards the server, deaf what comes from it.
+	// holdToServer holds back data towards the server, holdFromServer data from it.
 	holdToServer, holdFromServer bool
-	// silent are connections over which nothing comes any more. They are kept to the end of the set, since an end of theirs
-	// would be heard.
+	// silenced holds the silenced connections open until the cluster stops, because closing one would send a FIN or RST to its
+	// peer.
 	silenced map[net.Conn]bool
 }
 
-// quiet sends no keep-alive probes: a process would take them for signs of life.
+// noKeepAlive disables the proxy's own keep-alive probes: a process would take them as a sign that the connection is alive.
 var noKeepAlive = net.ListenConfig{KeepAlive: -1}
 
 func newProxy(address, to string) (*proxy, error) {
@@ -42,36 +43,37 @@
 
 func (p *proxy) accept() {
 	for {
-		near, err := p.ln.Accept()
+		client, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(near)
+		go p.serve(client)
 	}
 }
 
-func (p *proxy) serve(near net.Conn) {
+func (p *proxy) serve(client net.Conn) {
 	dialer := net.Dialer{Timeout: time.Second, KeepAlive: -1}
-	far, err := dialer.Dial("tcp", p.target)
+	server, err := dialer.Dial("tcp", p.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
 	p.mu.Lock()
-	p.conns[near], p.conns[far] = true, true
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
-	go p.copyOneWay(near, far, func() bool { return p.holdToServer })
-	p.copyOneWay(far, near, func() bool { return p.holdFromServer })
+	go p.copyOneWay(client, server, func() bool { return p.holdToServer })
+	p.copyOneWay(server, client, func() bool { return p.holdFromServer })
 	p.mu.Lock()
-	delete(p.conns, near)
-	delete(p.conns, far)
+	delete(p.conns, client)
+	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
-// chunkPoll is how often a silenced direction looks whether it may go on.
+// holdPoll is the interval at which a direction that is held back checks whether it may continue.
 const holdPoll = 5 * time.Millisecond
 
-// carry copies one direction until either side ends.
+// copyOneWay copies data in one direction until either side closes or is silenced. held reports, under p.mu, whether the direction is
+// held back.
 func (p *proxy) copyOneWay(from, to net.Conn, held func() bool) {
 	defer p.closeUnlessSilenced(from, to)
 	buffer := make([]byte, 32<<10)
@@ -104,14 +106,14 @@
 	}
 }
 
-// isSilent tells whether a connection was silenced.
+// isSilenced reports whether a connection has been silenced.
 func (p *proxy) isSilenced(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.silenced[c]
 }
 
-// end closes connections, unless nobody may hear of it.
+// closeUnlessSilenced closes the connections that have not been silenced.
 func (p *proxy) closeUnlessSilenced(conns ...net.Conn) {
 	for _, c := range conns {
 		if !p.isSilenced(c) {
@@ -120,7 +122,7 @@
 	}
 }
 
-// silenceAll makes all open connections silent for good; new ones work.
+// silenceAll permanently silences all open connections. New connections work as usual.
 func (p *proxy) silenceAll() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,22 +136,22 @@
 	return nil
 }
 
-// reset ends a connection with a reset instead of an orderly end.
+// reset closes a connection with a RST instead of a FIN.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0) //nolint:errcheck // it is about to be closed
+		t.SetLinger(0) //nolint:errcheck // about to be closed
 	}
 	c.Close()
 }
 
-// set changes how connections are treated from now on.
-func (p *proxy) setFault(delay time.Duration, mute, deaf bool) {
+// setFault replaces the faults of all present and future connections: the delay, and the directions that are held back.
+func (p *proxy) setFault(delay time.Duration, holdToServer, holdFromServer bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.delay, p.holdToServer, p.holdFromServer = delay, mute, deaf
+	p.delay, p.holdToServer, p.holdFromServer = delay, holdToServer, holdFromServer
 }
 
-// resetAll resets all connections.
+// resetAll resets all connections that have not been silenced.
 func (p *proxy) resetAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,6 +160,7 @@
 	}
 }
 
+// close stops listening and resets all connections, including the silenced ones.
 func (p *proxy) close() {
 	p.ln.Close()
 	p.resetAll()
--- a/internal/proof/soak/resend_test.go
+++ b/internal/proof/soak/resend_test.go
@@ -19,36 +19,37 @@
 )
 
 var (
-	resendEntries = flag.Int("resend-entries", 0, "how many entries a set of TestResentJobsAtSize has")
-	resendAgents  = flag.Int("resend-agents", 16, "how many agents it has")
-	resendRate    = flag.Float64("resend-rate", 100, "how many jobs its callers send a second")
-	callsShare    = flag.Float64("calls-share", 0.5, "the share of a core that agents of TestLateCalls get, entries twice that")
-	callsFor      = flag.Duration("calls-for", 8*time.Second, "how long jobs come in TestLateCalls")
-	resendShare   = flag.Float64("resend-share", 1, "the share of a core that its agents get, entries twice that")
+	resendEntries = flag.Int("resend-entries", 0, "how many entries a cluster of TestResentJobsAtSize has; 0 skips the test")
+	resendAgents  = flag.Int("resend-agents", 16, "how many agents a cluster of TestResentJobsAtSize has")
+	resendRate    = flag.Float64("resend-rate", 100, "how many jobs per second the callers of TestResentJobsAtSize send")
+	callsShare    = flag.Float64("calls-share", 0.5, "the share of a core that each agent of TestLateCalls gets; entries get twice that")
+	callsFor      = flag.Duration("calls-for", 8*time.Second, "how long jobs are sent in TestLateCalls")
+	resendShare   = flag.Float64("resend-share", 1, "the share of a core that each agent of TestResentJobsAtSize gets; entries get twice that")
 )
 
-// kind is a kind of best-effort job.
+// jobKind is a kind of best-effort job.
 type jobKind struct {
 	tasks, runMs int
-	// odds are its share of all jobs.
+	// share is the fraction of all jobs that are of this kind.
 	share float64
 }
 
-// kinds are wide and short, long, and narrow.
+// jobKinds lists the kinds of jobs: many short tasks, long tasks, and few tasks. The shares add up to 1.
 var jobKinds = []jobKind{{8, 60, 0.24}, {4, 900, 0.05}, {2, 200, 0.71}}
 
 const (
-	// attemptWait is how long a caller waits for one answer; it tells entries how long it waits in all.
+	// attemptTimeout is how long a caller waits for the answer to one attempt. The deadline that it sends to the entry is the time that
+	// is left of callerTimeout.
 	attemptTimeout = 1500 * time.Millisecond
-	// callerWait is how long it waits in all.
+	// callerTimeout is how long a caller waits in total.
 	callerTimeout = 3300 * time.Millisecond
-	// entryFaultEvery is the mean pause between two faults of entries.
+	// entryFaultInterval is the mean pause between two entry faults.
 	entryFaultInterval = 1200 * time.Millisecond
-	// slice is the time in which a process that is held back runs for its share.
+	// throttlePeriod is the period of which a throttled process runs for its share.
 	throttlePeriod = 100 * time.Millisecond
 )
 
-// drawKind draws a kind of job.
+// drawJobKind draws a kind of job according to the shares.
 func drawJobKind(rng *rand.Rand) jobKind {
 	x := rng.Float64()
 	for _, k := range jobKinds {
@@ -60,8 +61,8 @@
 	return jobKinds[len(jobKinds)-1]
 }
 
-// submitImpatient sends one best-effort job, and to another entry 1.3 s after a connection broke, or after an attempt that was
-// not answered in time, whose connection it closes at its own side: whether its entry hears of that is not its concern.
+// submitImpatient sends one best-effort job. If the connection breaks or the attempt is not answered within attemptTimeout, the caller
+// closes the connection on its own side, whether or not the entry notices, and sends the job to another entry resendPause later.
 func (c *callers) submitImpatient(rng *rand.Rand) {
 	k := drawJobKind(rng)
 	j := &job{id: fmt.Sprintf("%016x", rng.Uint64()), tasks: k.tasks, runMs: k.runMs}
@@ -89,48 +90,50 @@
 	})
 }
 
-// holdBack lets a process run for a share of each slice, until ctx ends.
-func (s *cluster) throttle(ctx context.Context, p *process, share float64) {
+// throttle lets a process run for a share of each throttlePeriod until ctx is done.
+func (cl *cluster) throttle(ctx context.Context, p *process, share float64) {
 	runs := time.Duration(share * float64(throttlePeriod))
 	for ctx.Err() == nil {
 		time.Sleep(runs)
 		if p.suspended.Load() {
 			continue
 		}
-		s.signal(p, syscall.SIGSTOP)
+		cl.signal(p, syscall.SIGSTOP)
 		time.Sleep(throttlePeriod - runs)
 		if !p.suspended.Load() {
-			s.signal(p, syscall.SIGCONT)
+			cl.signal(p, syscall.SIGCONT)
 		}
 	}
 }
 
-// holdAllBack lets agents run for a share of each slice, and entries for twice that, until ctx ends.
-func (s *cluster) throttleAll(ctx context.Context, share float64) {
-	for i, p := range s.processes() {
+// throttleAll throttles agents to a share of each throttlePeriod, and entries to twice that, until ctx is done. A process whose share
+// is 1 or more is not throttled. The periods of the processes are staggered.
+func (cl *cluster) throttleAll(ctx context.Context, share float64) {
+	for i, p := range cl.processes() {
 		of := share
 		if p.role == "entry" {
 			of *= 2
 		}
 		if of < 1 {
-			time.AfterFunc(time.Duration(i)*throttlePeriod/7, func() { s.throttle(ctx, p, of) })
+			time.AfterFunc(time.Duration(i)*throttlePeriod/7, func() { cl.throttle(ctx, p, of) })
 		}
 	}
 }
 
-// freeze stops a process for a while.
-func (s *cluster) suspend(p *process, span time.Duration) {
+// suspend stops a process with SIGSTOP and resumes it after a while.
+func (cl *cluster) suspend(p *process, span time.Duration) {
 	p.suspended.Store(true)
-	s.signal(p, syscall.SIGSTOP)
+	cl.signal(p, syscall.SIGSTOP)
 	time.AfterFunc(span, func() {
 		p.suspended.Store(false)
-		s.signal(p, syscall.SIGCONT)
+		cl.signal(p, syscall.SIGCONT)
 	})
 }
 
-// cutOff cuts an entry off from everything for a while, unless it is cut off already. What callers send meanwhile, ends of streams among it,
-// is sent again after pauses that double, as a kernel does: it arrives when as much time again has passed.
-func (s *cluster) cutOff(e *process, span time.Duration) {
+// cutOff cuts an entry off from agents, store and callers for a while, unless it is cut off already. What callers send meanwhile,
+// including the closing of connections, is delivered only after the same time again, as if a kernel had retransmitted with
+// exponential backoff.
+func (cl *cluster) cutOff(e *process, span time.Duration) {
 	if !e.cutOff.CompareAndSwap(false, true) {
 		return
 	}
@@ -149,107 +152,109 @@
 	})
 }
 
-// cutCallersOff cuts an entry off from callers alone for a while; what they send meanwhile arrives as after cutOff.
-func (s *cluster) cutCallersOff(e *process, span time.Duration) {
+// cutCallersOff cuts an entry off from callers only. What they send meanwhile is delivered late, as after cutOff.
+func (cl *cluster) cutCallersOff(e *process, span time.Duration) {
 	e.front.setFault(0, true, true)
 	time.AfterFunc(span, func() { e.front.setFault(0, true, false) })
 	time.AfterFunc(2*span, func() { e.front.setFault(0, false, false) })
 }
 
-// entryFault lets something happen to one entry, or to several agents.
-func (s *cluster) injectEntryFault(rng *rand.Rand) string {
-	e, a := s.entries[rng.IntN(len(s.entries))], s.agents[rng.IntN(len(s.agents))]
+// injectEntryFault suspends, cuts off or restarts one entry, suspends one agent, or restarts every fourth agent. It returns a description
+// for the log.
+func (cl *cluster) injectEntryFault(rng *rand.Rand) string {
+	e, a := cl.entries[rng.IntN(len(cl.entries))], cl.agents[rng.IntN(len(cl.agents))]
 	span := time.Duration(300+rng.IntN(2700)) * time.Millisecond
 	switch rng.IntN(8) {
 	case 0, 1:
-		s.suspend(e, span)
-		return fmt.Sprintf("freeze %s %v", e.name, span)
+		cl.suspend(e, span)
+		return fmt.Sprintf("suspend %s for %v", e.name, span)
 	case 2, 3:
-		s.cutOff(e, span)
-		return fmt.Sprintf("cut %s off %v", e.name, span)
+		cl.cutOff(e, span)
+		return fmt.Sprintf("cut off %s for %v", e.name, span)
 	case 4:
-		s.restart(e, syscall.SIGKILL, span)
+		cl.restart(e, syscall.SIGKILL, span)
 		return "kill " + e.name
 	case 5:
-		s.restart(e, syscall.SIGTERM, span)
-		return "term " + e.name
+		cl.restart(e, syscall.SIGTERM, span)
+		return "terminate " + e.name
 	case 6:
-		s.suspend(a, span)
-		return fmt.Sprintf("freeze %s %v", a.name, span)
+		cl.suspend(a, span)
+		return fmt.Sprintf("suspend %s for %v", a.name, span)
 	}
-	for i, p := range s.agents {
+	for i, p := range cl.agents {
 		if i%4 == 0 {
-			time.AfterFunc(time.Duration(i)*span/4, func() { s.restart(p, syscall.SIGTERM, 200*time.Millisecond) })
+			time.AfterFunc(time.Duration(i)*span/4, func() { cl.restart(p, syscall.SIGTERM, 200*time.Millisecond) })
 		}
 	}
-	return fmt.Sprintf("roll each fourth agent, %v apart", span)
+	return fmt.Sprintf("restart every fourth agent, %v apart", span)
 }
 
-// callFault lets an upstream read calls late, after their senders have given up and closed the connections, while newer ones overtake
-// them, and its agent stand still or start again beside them.
-func (s *cluster) injectCallFault(rng *rand.Rand) string {
-	a := s.agents[rng.IntN(len(s.agents))]
+// injectCallFault disturbs the calls of one agent to its upstream. For example, the upstream reads calls late, after their senders have
+// timed out and closed the connections, so that newer calls overtake them; or the agent is suspended or killed meanwhile. It returns a
+// description for the log.
+func (cl *cluster) injectCallFault(rng *rand.Rand) string {
+	a := cl.agents[rng.IntN(len(cl.agents))]
 	span := time.Duration(100+rng.IntN(1900)) * time.Millisecond
 	switch rng.IntN(8) {
 	case 0, 1:
 		a.upstream.Break(standin.UpstreamFault{Late: span})
 		time.AfterFunc(span, func() { a.upstream.Break(standin.UpstreamFault{}) })
-		return fmt.Sprintf("orders of %s are taken up %v late", a.name, span)
+		return fmt.Sprintf("carry out orders of %s %v late", a.name, span)
 	case 2, 3:
 		a.calls.setFault(span, false, false)
 		time.AfterFunc(span, func() { a.calls.setFault(0, false, false) })
-		return fmt.Sprintf("calls of %s and their answers are %v late", a.name, span)
+		return fmt.Sprintf("delay calls of %s and their answers by %v", a.name, span)
 	case 4:
 		a.calls.setFault(0, false, true)
 		time.AfterFunc(span, func() { a.calls.setFault(0, false, false) })
-		return fmt.Sprintf("answers to %s are held up for %v", a.name, span)
+		return fmt.Sprintf("hold back answers to %s for %v", a.name, span)
 	case 5:
 		a.calls.setFault(span, false, false)
-		time.AfterFunc(span/4, func() { s.restart(a, syscall.SIGKILL, span/4) })
+		time.AfterFunc(span/4, func() { cl.restart(a, syscall.SIGKILL, span/4) })
 		time.AfterFunc(span/2, func() { a.calls.setFault(0, false, false) })
-		return fmt.Sprintf("%s is killed while its calls are %v late", a.name, span)
+		return fmt.Sprintf("kill %s while its calls are delayed by %v", a.name, span)
 	case 6:
-		s.suspend(a, span)
-		return fmt.Sprintf("freeze %s %v", a.name, span)
+		cl.suspend(a, span)
+		return fmt.Sprintf("suspend %s for %v", a.name, span)
 	}
 	a.upstream.Break(standin.UpstreamFault{Status: http.StatusBadGateway})
 	time.AfterFunc(span, func() { a.upstream.Break(standin.UpstreamFault{}) })
-	return fmt.Sprintf("orders of %s are carried out and answered with errors for %v", a.name, span)
+	return fmt.Sprintf("carry out orders of %s but answer with errors for %v", a.name, span)
 }
 
-// resendCases are schedules of one fault, one after the other, that each run plays.
+// resendCases lists the cases of TestResentJobs. Each injects the same fault repeatedly into an entry drawn at random.
 var resendCases = []struct {
 	name  string
-	fault func(s *cluster, rng *rand.Rand) string
+	fault func(cl *cluster, rng *rand.Rand) string
 }{
-	{"cut_off", func(s *cluster, rng *rand.Rand) string {
-		e := s.entries[rng.IntN(len(s.entries))]
-		s.cutOff(e, 2600*time.Millisecond)
-		return "cut " + e.name + " off"
+	{"cut_off", func(cl *cluster, rng *rand.Rand) string {
+		e := cl.entries[rng.IntN(len(cl.entries))]
+		cl.cutOff(e, 2600*time.Millisecond)
+		return "cut off " + e.name
 	}},
-	{"frozen", func(s *cluster, rng *rand.Rand) string {
-		e := s.entries[rng.IntN(len(s.entries))]
-		s.suspend(e, 2600*time.Millisecond)
-		return "freeze " + e.name
+	{"frozen", func(cl *cluster, rng *rand.Rand) string {
+		e := cl.entries[rng.IntN(len(cl.entries))]
+		cl.suspend(e, 2600*time.Millisecond)
+		return "suspend " + e.name
 	}},
-	{"callers_cut_off", func(s *cluster, rng *rand.Rand) string {
-		e := s.entries[rng.IntN(len(s.entries))]
-		s.cutCallersOff(e, 1600*time.Millisecond)
-		return "cut " + e.name + " off from callers"
+	{"callers_cut_off", func(cl *cluster, rng *rand.Rand) string {
+		e := cl.entries[rng.IntN(len(cl.entries))]
+		cl.cutCallersOff(e, 1600*time.Millisecond)
+		return "cut off " + e.name + " from callers"
 	}},
-	{"callers_cut_one_way", func(s *cluster, rng *rand.Rand) string {
-		e := s.entries[rng.IntN(len(s.entries))]
+	{"callers_cut_one_way", func(cl *cluster, rng *rand.Rand) string {
+		e := cl.entries[rng.IntN(len(cl.entries))]
 		e.front.setFault(0, true, false)
 		time.AfterFunc(2600*time.Millisecond, func() { e.front.setFault(0, false, false) })
-		return "cut what callers send to " + e.name
+		return "hold back what callers send to " + e.name
 	}},
 }
 
-// caseEvery is the pause between two faults of a case.
+// caseInterval is the pause between two faults of a case.
 const caseInterval = 6 * time.Second
 
-// TestResentJobs guards against tasks that two entries run at once: callers that break off or lose their connections at their own
-// side send their jobs to other entries, while their first entries stand still or are cut off.
+// TestResentJobs guards against tasks that two entries run at once. That can happen when callers time out or lose their connections and
+// send their jobs to other entries while the first entries are suspended or cut off.
 func TestResentJobs(t *testing.T) {
 	binary := build(t)
 	for _, test := range resendCases {
@@ -263,8 +268,8 @@
 	}
 }
 
-// TestResentJobsAtSize is TestResentJobs with sets of any size, under faults at random, by processes that may get little of a core. It is
-// started by hand.
+// TestResentJobsAtSize is TestResentJobs with clusters of any size, random faults and processes that may be throttled. It runs only when
+// started by hand with -resend-entries.
 func TestResentJobsAtSize(t *testing.T) {
 	if *resendEntries == 0 {
 		t.Skip("started by hand, with -resend-entries")
@@ -281,11 +286,11 @@
 	}
 }
 
-// callFaultEvery is the mean pause between two faults of calls.
+// callFaultInterval is the mean pause between two call faults.
 const callFaultInterval = 250 * time.Millisecond
 
-// TestLateCalls guards against tasks that run at two upstreams because a run was told as not there while a call that starts it was still
-// on its way: calls are read late and in any order, by agents that get a part of a core.
+// TestLateCalls guards against tasks that run at two upstreams because a run was reported as absent while the call that starts it was
+// still in flight. Calls are read late and in any order, and the agents are throttled.
 func TestLateCalls(t *testing.T) {
 	binary := build(t)
 	for i := range *soakSeeds {
@@ -299,7 +304,7 @@
 	}
 }
 
-// build builds the program under test.
+// build builds the program under test and returns the path of the binary.
 func build(t *testing.T) string {
 	binary := filepath.Join(t.TempDir(), "hillreel")
 	out, err := exec.Command("go", "build", "-o", binary, "hillreel").CombinedOutput()
@@ -307,33 +312,35 @@
 	return binary
 }
 
-// resendRun is one run of resent jobs.
+// resendRun describes one run of runResends.
 type resendRun struct {
 	seed            uint64
 	entries, agents int
-	// rate is how many jobs come a second, for length; share is the share of a core that agents get, entries twice that.
+	// rate is the mean number of jobs per second, sent for length. share is the share of a core that each agent gets; entries get
+	// twice that.
 	rate, share float64
 	length      time.Duration
-	fault       func(*cluster, *rand.Rand) string
+	// fault injects one fault and returns a description for the log.
+	fault func(*cluster, *rand.Rand) string
 	// every draws the pause between two faults.
 	every func(*rand.Rand) time.Duration
 }
 
-// resends plays one run.
+// runResends starts a cluster, sends jobs under the faults of r, and checks the guarantees.
 func runResends(t *testing.T, binary string, r resendRun) {
-	s := newSet(t, binary, r.seed, r.entries, r.agents)
-	defer s.stop()
+	cl := newCluster(t, binary, r.seed, r.entries, r.agents)
+	defer cl.stop()
 	until := time.Now().Add(30 * time.Second)
-	for why := probeIdle(s, 1); why != ""; why = probeIdle(s, 1) {
+	for why := probeIdle(cl, 1); why != ""; why = probeIdle(cl, 1) {
 		if time.Now().After(until) {
-			s.saveDiagnostics(r.seed, why)
-			t.Fatalf("seed %d: the set does not come up: %s", r.seed, why)
+			cl.saveDiagnostics(r.seed, why)
+			t.Fatalf("seed %d: the cluster does not come up: %s", r.seed, why)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s.throttleAll(ctx, r.share)
-	c := newCallers(s)
+	cl.throttleAll(ctx, r.share)
+	c := newCallers(cl)
 	traffic, faults := rand.New(rand.NewPCG(r.seed, 9)), rand.New(rand.NewPCG(r.seed, 10))
 	end, nextFault := time.Now().Add(r.length), time.Now().Add(time.Second)
 	var log []string
@@ -341,16 +348,16 @@
 	for next := time.Now(); next.Before(end); next = next.Add(time.Duration(pause * traffic.ExpFloat64())) {
 		time.Sleep(time.Until(next))
 		if time.Now().After(nextFault) {
-			log = append(log, time.Now().Format("15:04:05.000 ")+r.fault(s, faults))
+			log = append(log, time.Now().Format("15:04:05.000 ")+r.fault(cl, faults))
 			nextFault = time.Now().Add(r.every(faults))
 		}
 		c.submitImpatient(traffic)
 	}
 	c.wait.Wait()
-	problems := append(s.ledger.Broken(), c.checkAnswers()...)
+	problems := append(cl.ledger.Broken(), c.checkAnswers()...)
 	t.Logf("seed %d: %d jobs, %v, faults: %s", r.seed, len(c.jobs), c.counts(), strings.Join(log, "; "))
 	if len(problems) > 0 {
-		s.saveDiagnostics(r.seed, problems...)
+		cl.saveDiagnostics(r.seed, problems...)
 		t.Errorf("seed %d: %d problems: %s", r.seed, len(problems), strings.Join(problems, "\n"))
 	}
 }
--- a/internal/proof/soak/claim_test.go
+++ b/internal/proof/soak/subnet_test.go
@@ -6,11 +6,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestLeftProcessesKeepTheirNet guards against sets whose processes are those of an earlier run, which go by another store.
+// TestSubnetOfLeftoverProcessesIsSkipped guards against a cluster in a subnet where processes of an earlier run still listen: the test
+// would talk to those processes, which use another store.
 func TestSubnetOfLeftoverProcessesIsSkipped(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// kind and n name the process that is left.
+		// kind and n identify the leftover process.
 		kind, n int
 	}{
 		{"an entry", 1, 0},
--- a/internal/standin/embedded/restart_test.go
+++ b/internal/standin/embedded/restart_test.go
@@ -21,10 +21,10 @@
 // incarnation. The new incarnation numbers its heartbeats and its run ends from 1 again, so its heartbeats were dropped as outdated,
 // and its ends were acknowledged before it had listed them.
 //
-// The effects in the incident that showed the fault: after a restart, the agent lost exactly as many runs as it had received ends before (317 and 317,
-// 4 and 4). Tasks that had completed there were taken as lost and repeated elsewhere, some of them seven times. When the upstream
-// announced that it would leave, the agent acknowledged the announcement without a change of state in its log, and kept starting
-// tasks there until the upstream ended.
+// The effects in the incident that showed the fault: after a restart, the agent lost exactly as many runs as it had received ends
+// before (317 and 317, 4 and 4). Tasks that had completed there were taken as lost and repeated elsewhere, some of them seven times.
+// When the upstream announced that it would leave, the agent acknowledged the announcement without a change of state in its log, and
+// kept starting tasks there until the upstream ended.
 
 // tasksPerJob is the number of tasks of a job, and so the number of starts if every task runs exactly once.
 const tasksPerJob = 2
