--- a/internal/proof/soak/diagnostics_test.go
+++ b/internal/proof/soak/diagnostics_test.go
@@ -34,7 +34,7 @@
 		err = os.CopyFS(into, os.DirFS(cl.dir))
 	}
 	if err != nil {
-		cl.t.Logf("cannot save the logs of seed %d: %v", seed, err)
+		cl.t.Logf("cannot save the logs: %v", err)
 	}
 }
 
--- a/internal/proof/soak/evacuate_test.go
+++ b/internal/proof/soak/evacuate_test.go
@@ -26,12 +26,12 @@
 		return "evacuate " + zone
 	case 3, 4, 5:
 		cl.store.TakeBack(zone)
-		return "cancel the evacuation of " + zone
+		return "cancel " + zone + "'s evacuation"
 	case 6:
 		cl.store.TakeBack(zone)
 		cl.store.Evacuate(zone)
 		cl.store.Forget()
-		return "cancel the evacuation of " + zone + ", evacuate it again and drop the history"
+		return "cancel " + zone + "'s evacuation, evacuate it again and drop the history"
 	}
 	cl.store.Put("op", "evacuate/"+zone, []byte("\xff"))
 	return "write an unreadable request to evacuate " + zone
@@ -72,7 +72,7 @@
 	cl.store.TakeBack(zone)
 	for until := time.Now().Add(cordonBound); cl.startsIn(zone) == before; {
 		if time.Now().After(until) {
-			return []string{fmt.Sprintf("nothing starts in %s within %v after its evacuation was cancelled", zone, cordonBound)}
+			return []string{"nothing starts in " + zone + " after its evacuation was cancelled"}
 		}
 		if why := probeIdle(cl, 1); why != "" {
 			return []string{"after the evacuation of " + zone + " was cancelled: " + why}
--- a/internal/proof/soak/resend_test.go
+++ b/internal/proof/soak/resend_test.go
@@ -170,7 +170,7 @@
 		return fmt.Sprintf("suspend %s for %v", e.name, span)
 	case 2, 3:
 		cl.cutOff(e, span)
-		return fmt.Sprintf("cut off %s for %v", e.name, span)
+		return fmt.Sprintf("cut %s off for %v", e.name, span)
 	case 4:
 		cl.restart(e, syscall.SIGKILL, span)
 		return "kill " + e.name
@@ -230,7 +230,7 @@
 	{"cut_off", func(cl *cluster, rng *rand.Rand) string {
 		e := cl.entries[rng.IntN(len(cl.entries))]
 		cl.cutOff(e, 2600*time.Millisecond)
-		return "cut off " + e.name
+		return "cut " + e.name + " off"
 	}},
 	{"frozen", func(cl *cluster, rng *rand.Rand) string {
 		e := cl.entries[rng.IntN(len(cl.entries))]
@@ -240,7 +240,7 @@
 	{"callers_cut_off", func(cl *cluster, rng *rand.Rand) string {
 		e := cl.entries[rng.IntN(len(cl.entries))]
 		cl.cutCallersOff(e, 1600*time.Millisecond)
-		return "cut off " + e.name + " from callers"
+		return "cut " + e.name + " off from callers"
 	}},
 	{"callers_cut_one_way", func(cl *cluster, rng *rand.Rand) string {
 		e := cl.entries[rng.IntN(len(cl.entries))]
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -128,7 +128,7 @@
 	problems = append(problems, c.checkKept(settleBy)...)
 	for why := "?"; why != ""; {
 		if why = probeIdle(cl, 10); why != "" && time.Now().After(settleBy) {
-			problems = append(problems, fmt.Sprintf("not idle %v after the last job: %s", settleTimeout, why))
+			problems = append(problems, "the cluster does not become idle: "+why)
 			break
 		}
 	}
