--- a/internal/entry/dispatch/agents.go
+++ b/internal/entry/dispatch/agents.go
@@ -53,8 +53,8 @@
 	t.repeatTakeovers(now, id)
 }
 
-// silentKeepAlives is the number of keep-alive intervals without a message after which an agent counts as silent. An agent
-// whose link ends sooner after its last message was heard to disconnect.
+// silentKeepAlives is the number of keep-alive intervals without a message after which an agent counts as silent. If a link
+// ends sooner after the agent's last message, this entry has received the end of the connection, so it is not cut off.
 const silentKeepAlives = 2
 
 // HandleUnlinked handles the end of a session. The runs at the agent may continue for a while.
@@ -151,9 +151,9 @@
 	t.placeAt(now, a)
 }
 
-// settleReplaced settles the runs of earlier agents of an upstream. The upstream's new agent reports a
-// state in which its runs are known only once none of those runs remains. In such a state it accepts work, or would do so
-// without a cordon.
+// settleReplaced settles the runs of an upstream's earlier agents. The upstream's new agent, the successor, reports a state
+// for which RunsKnown is true only once none of those runs remains. In such a state the upstream accepts work, or would
+// accept it without a cordon.
 func (t *Table) settleReplaced(now time.Time, successor *agentState) {
 	if !successor.Known() || !successor.Room().State.RunsKnown() || t.lostAgents == 0 {
 		return
--- a/internal/entry/dispatch/answers.go
+++ b/internal/entry/dispatch/answers.go
@@ -45,7 +45,7 @@
 	t.placeAll(now)
 }
 
-// Cancel ends a job at its caller's request. It reports whether this entry held such a job that is not kept.
+// Cancel ends a job that is not kept at its caller's request. It reports whether this entry held such a job.
 func (t *Table) Cancel(now time.Time, id job.ID) bool {
 	belated := t.cancelBelated(id)
 	j := t.jobs[id]
--- a/internal/entry/dispatch/crash.go
+++ b/internal/entry/dispatch/crash.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// HandleRefutations records that upstream incarnations that were considered lost have answered after all.
+// HandleRefutations records that upstream lives that were considered lost have answered after all.
 func (t *Table) HandleRefutations(now time.Time, all []fleet.Refutation) {
 	for _, r := range all {
 		if t.crashes.Refute(r) && t.keeper != nil {
--- a/internal/entry/dispatch/dispatch.go
+++ b/internal/entry/dispatch/dispatch.go
@@ -68,7 +68,7 @@
 	// Crashed is called when an upstream was lost while it ran a task of a kept job that this entry holds. The call
 	// precedes the one for the end of the run.
 	Crashed(now time.Time, c fleet.Crash)
-	// Refuted is called when an upstream incarnation that was considered lost has answered after all.
+	// Refuted is called when an upstream life that was considered lost has answered after all.
 	Refuted(now time.Time, r fleet.Refutation)
 	// JobEnded is called once a job has ended.
 	JobEnded(now time.Time, j job.ID, a Answer)
--- a/internal/entry/dispatch/job.go
+++ b/internal/entry/dispatch/job.go
@@ -38,9 +38,9 @@
 	runID    fleet.RunID
 	agent    *agentState
 	failures int
-	// checkpoint is the newest one saved by a run, or empty.
+	// checkpoint is the newest checkpoint that a run of the task has saved, or empty.
 	checkpoint string
-	// avoid lists the upstreams that failed or stalled the task or that it was moved away from.
+	// avoid lists the upstreams at which the task failed or stalled, or from which it was moved away.
 	avoid []ident.UpstreamID
 	// stopping is set once a stop was sent for the newest run, moving once that run was asked to end so that the task can
 	// run elsewhere.
@@ -101,7 +101,7 @@
 	begun bool
 	// ending is set once the job was answered or given up. Runs of it may still remain.
 	ending bool
-	// resubmitted lists requests for the same id that arrived meanwhile and start once the current runs have ended.
+	// resubmitted lists later requests for the same id. They start the job anew once its present runs have ended.
 	resubmitted []Request
 }
 
--- a/internal/entry/dispatch/observe.go
+++ b/internal/entry/dispatch/observe.go
@@ -14,7 +14,8 @@
 	Agent ident.UpstreamName
 }
 
-// Stops lists runs of one job that are to be stopped because they are no longer wanted, or not at their present upstream.
+// Stops lists runs of one job that are to be stopped, either because they are no longer wanted or because their tasks are to
+// run at other upstreams.
 type Stops struct {
 	Job job.ID
 	// RequestID is the newest caller's own id of its request.
@@ -73,8 +74,8 @@
 
 // reportStops tells the observer which stops of one job were sent since the last call, and which runs are unreachable, so
 // that no stop can be sent for them.
-func (t *Table) reportStops(j *jobState, why StopCause, unheard []RunAt) {
-	s := Stops{Job: j.id, RequestID: j.requestID, Cause: why, Requested: t.unreportedStops, Unreachable: unheard}
+func (t *Table) reportStops(j *jobState, cause StopCause, unreachable []RunAt) {
+	s := Stops{Job: j.id, RequestID: j.requestID, Cause: cause, Requested: t.unreportedStops, Unreachable: unreachable}
 	t.unreportedStops = nil
 	if len(s.Requested)+len(s.Unreachable) > 0 {
 		t.observer.StopsRequested(s)
--- a/internal/entry/dispatch/place.go
+++ b/internal/entry/dispatch/place.go
@@ -40,7 +40,7 @@
 
 // placeAt places as many waiting tasks as fit at one agent that has reported its free capacity. Tasks that found no
 // capacity before can only find it there, so the other agents are not examined. With sorted paces a report then takes 0.75
-// us at both 70 and 2,100 agents. Examining all agents and sorting their paces would take 11 us and 890 us.
+// us at both 70 and 2,100 agents (BenchmarkRoom). Examining all agents and sorting their paces would take 11 us and 890 us.
 func (t *Table) placeAt(now time.Time, a *agentState) {
 	if a.AcceptsWork() {
 		t.placeAmong(now, []*agentState{a})
--- a/internal/entry/dispatch/resent.go
+++ b/internal/entry/dispatch/resent.go
@@ -6,9 +6,8 @@
 // the resent jobs would take all capacity after a loss of entries.
 const reservedShare = 0.5
 
-// reservedForOthers reports whether an agent's free capacity is reserved for jobs that can still be in time, and this
-// task's job was resent. The reservation does not apply if the upstream has no other work, or if the job would otherwise be
-// refused.
+// reservedForOthers reports whether a task of a resent job must leave an agent's free capacity to jobs that can still be in
+// time. It need not if the upstream has no other work, if the job has begun, or if the job would otherwise be refused.
 func (t *Table) reservedForOthers(now time.Time, a *agentState, k *task) bool {
 	j := k.job
 	if !j.resent() || j.begun || !now.Before(j.waitUntil.Add(-lastResortMargin)) {
--- a/internal/entry/dispatch/submit.go
+++ b/internal/entry/dispatch/submit.go
@@ -10,7 +10,7 @@
 	"hillreel/internal/entry/holders"
 )
 
-// Submit takes a job, or answers at once why it is refused. A request that may be outdated is held back first.
+// Submit takes a job, or answers at once why it is refused. A request that may have been delayed is held back first.
 func (t *Table) Submit(now time.Time, r Request) {
 	r.Deadline = t.deadline(now, r)
 	if !t.holdBelated(now, r) {
--- a/internal/entry/dispatch/takeover.go
+++ b/internal/entry/dispatch/takeover.go
@@ -220,9 +220,9 @@
 }
 
 // addReply records a reply that is sent once nothing of a job remains.
-func (t *Table) addReply(id job.ID, o releaseReply) {
-	if !slices.Contains(t.replies[id], o) {
-		t.replies[id] = append(t.replies[id], o)
+func (t *Table) addReply(id job.ID, r releaseReply) {
+	if !slices.Contains(t.replies[id], r) {
+		t.replies[id] = append(t.replies[id], r)
 	}
 }
 
@@ -230,12 +230,12 @@
 func (t *Table) sendReplies(id job.ID) {
 	waiting := t.replies[id]
 	delete(t.replies, id)
-	for _, o := range waiting {
-		t.agentsIO.SendReleased(o.agent, fleet.Released{Takeover: o.takeover, ByHolder: true})
+	for _, r := range waiting {
+		t.agentsIO.SendReleased(r.agent, fleet.Released{Takeover: r.takeover, ByHolder: true})
 	}
 }
 
-// repeatTakeovers asks a newly linked agent for the jobs that all agents were asked to release. It also schedules earlier
+// repeatTakeovers sends a newly linked agent the release requests that all agents were sent. It also schedules earlier
 // announcements for repetition, since they may have been lost with the agents that should have forwarded them.
 func (t *Table) repeatTakeovers(now time.Time, agent ident.Incarnation) {
 	for _, j := range t.jobs {
