--- a/internal/entry/admission/admission.go
+++ b/internal/entry/admission/admission.go
@@ -13,14 +13,13 @@
 	Objective, CriticalPath time.Duration
 	// CallerWait is how much longer the job's caller waits; zero means no limit.
 	CallerWait time.Duration
-	// Tasks is the job's number of tasks.
-	Tasks int
+	Tasks      int
 	// Kept is set for a job that outlives its callers and is not refused for lack of capacity. Resent is set if the caller
 	// has probably submitted the job before.
 	Kept, Resent bool
 }
 
-// State is the state of the entry.
+// State holds the properties of the entry that the decision depends on.
 type State struct {
 	// Pace is the median of the upstreams' paces.
 	Pace float64
