--- a/internal/entry/holders/holders.go
+++ b/internal/entry/holders/holders.go
@@ -1,6 +1,6 @@
 // Package holders tracks which other entry holds a job that is not kept, from the announcements that entries make of jobs
-// they have held for a long time. It does not include this entry's own jobs. It is not complete, because announcements may
-// be lost.
+// they have held for a long time. A Registry has none of this entry's own jobs, and is incomplete, because announcements
+// may be lost.
 package holders
 
 import (
--- a/internal/entry/holders/holders_test.go
+++ b/internal/entry/holders/holders_test.go
@@ -27,7 +27,7 @@
 	_, known = a.Find(now, 7)
 	qt.Assert(t, known, qt.IsFalse)
 	_, known = a.Find(now.Add(2*holders.AnnounceInterval), 8)
-	qt.Assert(t, known, qt.IsTrue, qt.Commentf("one message may be lost"))
+	qt.Assert(t, known, qt.IsTrue, qt.Commentf("one announcement may be lost"))
 	_, known = a.Find(now.Add(4*holders.AnnounceInterval), 8)
 	qt.Assert(t, known, qt.IsFalse)
 }
