--- a/internal/entry/placement/placement.go
+++ b/internal/entry/placement/placement.go
@@ -1,7 +1,7 @@
 // Package placement selects the upstream for a task.
 //
-// The caller supplies the candidates, a function that tells whether a candidate may be selected, and a cost function. A
-// candidate that may not be selected never is.
+// The caller supplies the candidates, a function that tells whether a candidate is eligible, and a cost function. Only
+// eligible candidates are selected.
 package placement
 
 import "math/rand/v2"
