--- a/internal/entry/queue/queue.go
+++ b/internal/entry/queue/queue.go
@@ -62,9 +62,9 @@
 // New returns an empty Queue.
 func New[J Job](s ident.Service) *Queue[J] { return &Queue[J]{Service: s} }
 
-// Add inserts a job at the position of its rank. A job whose rank changes while it waits keeps its position: a job with
-// other waiting tasks may begin, or turn out not to have begun after all. The list is sorted except for such jobs, and a
-// job that is added next to them may be inserted before or after them.
+// Add inserts a job at the position of its rank. A job whose rank changes while it waits keeps its position: it may begin
+// while other tasks of it still wait, or turn out not to have begun after all. The list is sorted except for such jobs, and
+// a job that is added next to them may be inserted before or after them.
 func (q *Queue[J]) Add(j J) {
 	i, _ := slices.BinarySearchFunc(q.jobs, j.Rank(), func(have J, rank Rank) int { return Compare(have.Rank(), rank) })
 	q.jobs = slices.Insert(q.jobs, i, j)
--- a/internal/entry/queue/queue_test.go
+++ b/internal/entry/queue/queue_test.go
@@ -29,7 +29,7 @@
 func TestOrder(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		turns []queue.Rank
+		ranks []queue.Rank
 		want  []job.ID
 	}{
 		{"by the time they should be placed", []queue.Rank{{PlaceBy: start.Add(time.Second), Job: 1}, {PlaceBy: start, Job: 2}}, []job.ID{2, 1}},
@@ -40,8 +40,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := queue.New[*waiter]("s")
-			for _, turn := range c.turns {
-				q.Add(&waiter{turn})
+			for _, rank := range c.ranks {
+				q.Add(&waiter{rank})
 			}
 			qt.Assert(t, ids(q), qt.DeepEquals, c.want)
 		})
