--- a/internal/entry/node/cordons.go
+++ b/internal/entry/node/cordons.go
@@ -20,10 +20,10 @@
 	n.links.SendCordons(n.cordons.Snapshots())
 	n.table.SetCordoned(now, n.cordons.Zones())
 	n.log.WithFields(logrus.Fields{"of": s.Source, "version": s.Version, "zones": s.Zones, "source": source}).Info("cordons_adopted")
-	for _, w := range n.table.Zones() {
-		if w.Cordoned {
+	for _, z := range n.table.Zones() {
+		if z.Cordoned {
 			// The line has the number of upstreams, because a zone without upstreams may be misspelt.
-			n.log.WithFields(logrus.Fields{"zone": w.Zone, "upstreams": w.Upstreams, "runs": w.Runs}).Info("zone_cordoned")
+			n.log.WithFields(logrus.Fields{"zone": z.Zone, "upstreams": z.Upstreams, "runs": z.Runs}).Info("zone_cordoned")
 		}
 	}
 }
--- a/internal/entry/node/kept.go
+++ b/internal/entry/node/kept.go
@@ -181,12 +181,12 @@
 	return out
 }
 
-// Acknowledge tells an agent that the ends of runs are stored or, if void is true, are ignored.
+// Acknowledge tells an agent that the ends of runs are stored or, if void is true, that they must not count.
 func (a *keptAgents) Acknowledge(agent ident.Incarnation, runs []fleet.RunRef, void bool) {
 	a.links.Send(agent, codec.Noted(runs, void))
 }
 
-// Ask asks an agent for the ends of the runs of some jobs. The agent's reply carries the same number.
+// Ask sends an agent a query for the ends of the runs of some jobs. The agent's reply carries the query's number.
 func (a *keptAgents) Ask(agent ident.Incarnation, number uint64, jobs []job.ID) {
 	a.links.Send(agent, codec.Ask(number, jobs))
 }
--- a/internal/entry/node/links.go
+++ b/internal/entry/node/links.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// serve greets the agent and receives its messages until the link ends.
+// serve exchanges hellos with the agent and receives its messages until the link ends.
 func (n *Node) serve(conn net.Conn) {
 	s, err := session.Accept(conn, n.hello())
 	if err != nil {
@@ -140,7 +140,7 @@
 	}
 }
 
-// ping sends a keep-alive. An agent stops this entry's runs when keep-alives stay away.
+// ping sends a keep-alive. An agent that receives no keep-alives from this entry for too long stops the entry's runs.
 func (n *Node) ping(now time.Time, l *link) {
 	l.State.pinged = now
 	var v ident.ConfigVersion
--- a/internal/entry/node/links_test.go
+++ b/internal/entry/node/links_test.go
@@ -24,7 +24,7 @@
 // failingStore is a store whose calls all fail at once.
 type failingStore struct{}
 
-var errStoreDown = errors.New("away")
+var errStoreDown = errors.New("the store is down")
 
 func (failingStore) Commit(context.Context, rows.Txn) (rows.Version, error) { return 0, errStoreDown }
 func (failingStore) Read(context.Context, rows.Key) (rows.Row, error) {
--- a/internal/entry/node/node.go
+++ b/internal/entry/node/node.go
@@ -122,7 +122,7 @@
 // Address returns the address on which the node listens for links. The node must be started.
 func (n *Node) Address() string { return n.ln.Addr().String() }
 
-// Incarnation returns the id of this run of the entry's process.
+// Incarnation returns the id of this incarnation of the entry's process.
 func (n *Node) Incarnation() ident.Incarnation { return n.inc }
 
 // Stop closes all links and stops the node at once, without draining.
--- a/internal/entry/node/state.go
+++ b/internal/entry/node/state.go
@@ -59,8 +59,8 @@
 // stateRetryPause is the pause between two reads of the state of another entry's job.
 const stateRetryPause = 100 * time.Millisecond
 
-// storedState reads the state of a job that this entry does not own. It reads again until the job has
-// ended, or until the next read would start after the time until.
+// storedState reads the state of a job that this entry does not own. It reads again until the job has ended, or until the next
+// read would start after the time until.
 func (n *Node) storedState(ctx context.Context, id job.ID, until time.Time) (verdict.State, error) {
 	for {
 		state, err := n.reader.State(ctx, id)
--- a/internal/entry/node/takeover.go
+++ b/internal/entry/node/takeover.go
@@ -7,7 +7,7 @@
 	"hillreel/internal/link/codec"
 )
 
-// AnnounceHeld tells an agent which jobs this entry has held for long. The agent passes the list to its other entries.
+// AnnounceHeld tells an agent which jobs this entry has held for a long time. The agent passes the list to its other entries.
 func (s *sender) AnnounceHeld(agent ident.Incarnation, jobs []job.ID) {
 	s.links.Send(agent, codec.Holding(0, jobs))
 }
