--- a/internal/entry/process/coverage.go
+++ b/internal/entry/process/coverage.go
@@ -17,7 +17,7 @@
 	// coverageEvery is the pause between two checks for services with too few linked upstreams.
 	coverageEvery = 2 * time.Second
 	// minUpstreams is the number of linked upstreams of a service below which the entry asks for more. With fewer upstreams, it is more
-	// likely that none of them has room. A small service may even have no linked upstream at all.
+	// likely that none of them has free capacity. A small service may even have no linked upstream at all.
 	minUpstreams = 24
 	// minShortLooks is the number of checks in a row that must find too few upstreams, because every entry is linked to few agents while
 	// a region starts.
@@ -66,7 +66,7 @@
 }
 
 // servicesShort does one check with the present routes and linked upstreams. It lists the services that need more linked upstreams.
-// Cordoned upstreams don't count, because there must be enough others to find room at.
+// Cordoned upstreams don't count, because the entry must know enough others to find free capacity there.
 func (c *coverage) servicesShort(routes []route.Route, upstreams []dispatch.Upstream) []ident.Service {
 	count := make(map[ident.Service]int)
 	for _, u := range upstreams {
