--- a/internal/entry/burn/burn.go
+++ b/internal/entry/burn/burn.go
@@ -47,7 +47,7 @@
 // ring holds one tally for each of the last bucketCount buckets.
 type ring struct {
 	buckets [bucketCount]tally
-	// newest is the number of the newest bucket, counted from the Unix epoch. Buckets older than the last bucketCount are void.
+	// newest is the number of the newest bucket, counted from the Unix epoch. The ring holds it and the bucketCount-1 before it.
 	newest int64
 }
 
