--- a/internal/core/boottime/boottime.go
+++ b/internal/core/boottime/boottime.go
@@ -3,13 +3,14 @@
 // The monotonic clock behind time.Now stops while a VM is suspended, for example when it is moved to another host. After it resumes, a
 // process would take what it was told before for current: an agent would accept an order that its entry has given up since, and an entry
 // would place a job that its caller has sent to another entry. This clock includes the time of suspensions, so a suspension counts like
-// any other time in which the process stood still. The clock is never adjusted, and its readings can't be compared with those of other
+// any other time in which the process was paused. The clock is never adjusted, and its readings can't be compared with those of other
 // VMs.
 package boottime
 
 import "time"
 
-// clock adds the time that has passed since from to began. elapsed returns the time since some fixed moment.
+// clock reads began plus the time that has elapsed since its start. elapsed returns the time since some fixed moment; from is what it
+// returned at the start.
 type clock struct {
 	began   time.Time
 	from    time.Duration
--- a/internal/core/crash/crash.go
+++ b/internal/core/crash/crash.go
@@ -1,10 +1,10 @@
 // Package crash decides whether a task crashes the upstreams that start it.
 //
-// When an upstream crashes, all runs on it are lost, those of sound tasks included. Sound tasks that are then placed again beside the
-// crashing task are lost with the next upstream too. A task is therefore not proven to crash upstreams by having run on one that was
-// lost: it is only suspected, and from then on it is started alone. Only upstreams that are lost while the task is alone count against
-// it. Another cause may hit an upstream at such a moment too, so a proof needs more than one upstream, lost at the same point of the
-// task's run.
+// When an upstream crashes, all runs on it are lost, also those of sound tasks, which crash nothing. Sound tasks that are then placed again
+// beside the crashing task are lost with the next upstream too. A task is therefore not proven to crash upstreams by having run on one that
+// was lost: it is only suspected, and from then on it is started alone. Only upstreams that are lost while the task is alone count against
+// it. Another cause may hit an upstream at such a moment too, so a proof needs more than one upstream, lost at the same point of the task's
+// run.
 //
 // Each entry and each agent has a Tracker, and they send each other the crashes that are new to them. A process that receives a job
 // that was sent again, or that takes over a kept job, therefore knows of the crashes of its tasks.
@@ -58,7 +58,7 @@
 	// hits each upstream every five seconds.
 	minCrashesAmidLosses = 3
 	// minTotalCrashes is the number of crashes that suffice even while many upstreams are lost to other causes: the task must have been alone
-	// at minCrashes of them and may have run beside others at the rest.
+	// at minCrashes of them and may have run beside others at the other crashes.
 	minTotalCrashes = 4
 	// minCloseCrashes is the number of crashes within closeDistance of one of them that are a proof however many upstreams are lost to other
 	// causes, if the task was alone at two of them. Other causes hit one point of a task's run that often for less than one suspect in
@@ -202,7 +202,7 @@
 	return tr.unexplainedLosses > tolerated && float64(tr.unexplainedLosses) > highLossRatio*float64(tr.upstreams)
 }
 
-// requiredCrashes returns how many upstreams must be lost under a task to prove that it crashes them.
+// requiredCrashes returns how many upstreams must be lost while a task runs on them to prove that the task crashes them.
 func (tr *Tracker) requiredCrashes() int {
 	if tr.hasManyLosses(0) {
 		return minCrashesAmidLosses
@@ -449,7 +449,7 @@
 	return latest + SafeAge
 }
 
-// HasCrashOn reports whether the upstream of a VM was lost under a task. Losing an upstream on another VM would prove more.
+// HasCrashOn reports whether the upstream of a VM was lost while a task ran on it. Losing an upstream on another VM would prove more.
 func (tr *Tracker) HasCrashOn(t job.TaskID, vm ident.UpstreamName) bool {
 	return slices.ContainsFunc(tr.Crashes(t), func(c fleet.Crash) bool { return c.VM == vm })
 }
@@ -466,7 +466,8 @@
 	return slices.DeleteFunc(slices.Clone(all), func(c fleet.Crash) bool { return len(tr.Crashes(c.Task)) < 2 })
 }
 
-// IsRepeatLoss reports whether a life was lost under a task that has more than one recorded crash.
+// IsRepeatLoss reports whether a life was lost while it ran a task that has more than one recorded crash. Refuted crashes are not
+// recorded any more.
 func (tr *Tracker) IsRepeatLoss(life ident.UpstreamLife) bool {
 	for _, r := range tr.tasks {
 		if len(r.crashes) > 1 && slices.ContainsFunc(r.crashes, func(c fleet.Crash) bool { return c.Life == life }) {
@@ -490,7 +491,7 @@
 // All returns all crashes that are not older than Retention.
 func (tr *Tracker) All(now time.Time) []fleet.Crash { return tr.listCrashes(now, 1) }
 
-// listCrashes returns the crashes of the tasks that have at least so many.
+// listCrashes returns the crashes, not older than Retention, of the tasks that have at least minimum crashes.
 func (tr *Tracker) listCrashes(now time.Time, minimum int) []fleet.Crash {
 	var out []fleet.Crash
 	for _, t := range tr.order {
--- a/internal/core/crash/crash_test.go
+++ b/internal/core/crash/crash_test.go
@@ -19,11 +19,12 @@
 	start = time.Unix(1000, 0)
 )
 
-// besideOthers returns a crash at which the task ran beside others, alone one at which it was the only task. Each VM name is another VM.
+// besideOthers returns a crash at which the task ran beside other tasks. Crashes are on the same VM if vm is the same.
 func besideOthers(vm, life string, age time.Duration) fleet.Crash {
 	return fleet.Crash{Task: task, VM: ident.UpstreamName(vm), Life: ident.UpstreamLife{ID: ident.UpstreamID(life)}, Loss: 1, Age: age}
 }
 
+// alone returns a crash at which the task was the only task on the upstream.
 func alone(vm, life string, age time.Duration) fleet.Crash {
 	c := besideOthers(vm, life, age)
 	c.Alone, c.OnlyTask = true, true
@@ -141,7 +142,7 @@
 	qt.Assert(t, a.Finding(second), qt.Equals, crash.Proven)
 }
 
-// TestCompanion guards against a sound task that is called failed because another task crashed its upstreams. The sound task was started
+// TestCompanion guards against a sound task that is reported as failed because another task crashed its upstreams. The sound task was started
 // 440 ms after a task that crashes its upstreams, on two upstreams one after the other, and was alone at both losses. Such losses prove
 // nothing if one other task remained on all of these upstreams, at one point of its own run.
 func TestCompanion(t *testing.T) {
@@ -203,7 +204,7 @@
 }
 
 // TestAgesBesideOthers checks that, while many upstreams are lost to other causes, losses while the task ran beside others count too,
-// although the recorded ages at them are too low by up to the pause between two holds.
+// although the recorded ages at them are too low by up to the time between two answers of the upstream.
 func TestAgesBesideOthers(t *testing.T) {
 	for _, c := range []struct {
 		low  time.Duration
@@ -222,7 +223,7 @@
 	}
 }
 
-// TestAgesAreKnownTooLow guards against a sound task that is called failed because losses at other points count. The recorded age at a
+// TestAgesAreKnownTooLow guards against a sound task that is reported as failed because losses at other points count. The recorded age at a
 // loss may be too low, but not too high, so a task that was older than the latest point of another loss was not lost at the same point.
 // In the fault, a sound task was alone twice, each time beside an older task that crashes its upstreams, and an earlier and a later loss
 // counted as being at that point too.
@@ -300,7 +301,8 @@
 	qt.Assert(t, a.All(start.Add(3*time.Minute)), qt.HasLen, 0)
 }
 
-// TestManyCrashes checks that a task is still proven to crash upstreams after it was lost with many upstreams to other causes.
+// TestManyCrashes checks that a task is still proven to crash upstreams if many upstreams were lost to other causes before while it ran on
+// them.
 func TestManyCrashes(t *testing.T) {
 	for _, n := range []int{7, 8, 20, 40} {
 		a := crash.New(nil)
@@ -351,7 +353,7 @@
 	}
 }
 
-// TestAgesAcrossStandstills guards against crashes that count for nothing. If an agent stood still, the age of a run at a loss is known
+// TestAgesAcrossStandstills guards against crashes that are wrongly ignored. If an agent was paused, the age of a run at a loss is known
 // only to within seconds. Such a run has not outlived the point of an earlier loss, and may have been lost at the same point.
 func TestAgesAcrossStandstills(t *testing.T) {
 	a := crash.New(nil)
--- a/internal/core/fleet/crash.go
+++ b/internal/core/fleet/crash.go
@@ -17,7 +17,7 @@
 	Loss LossNumber
 	// Age is the age of the task's run when the upstream was last heard.
 	Age time.Duration
-	// MaxAge is the highest possible age of the run, if its agent stood still in between. Zero means that the age exceeds Age by no more
+	// MaxAge is the highest possible age of the run, if its agent was paused in between. Zero means that the age exceeds Age by no more
 	// than the time that timely requests and answers leave open.
 	MaxAge time.Duration
 	// Alone: nothing else was started on the upstream shortly before the task or since.
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -14,7 +14,7 @@
 
 // The states.
 const (
-	// Ready: the upstream takes tasks that fit its free room.
+	// Ready: the upstream takes tasks that fit its free capacity.
 	Ready State = "ready"
 	// Probing: the upstream has failed or stalled too often; it takes one task from the receiver as a probe.
 	Probing State = "probing"
@@ -109,7 +109,7 @@
 }
 
 // RunID names one run among all runs that an entry's process has ordered; the process never uses it again. When a job is given up and
-// begun anew, the new run has the same task and number as the old one. The RunID keeps a delayed message about the old run from being
+// started again, the new run has the same task and number as the old one. The RunID keeps a delayed message about the old run from being
 // taken for a message about the new run. Zero is none.
 type RunID uint64
 
@@ -194,7 +194,7 @@
 // clock.
 func (t Timing) SettleAfter() time.Duration { return t.Silence + t.StopBound() }
 
-// StopBound returns the time within which an unwanted run is gone, counted from when its agent began to stop it.
+// StopBound returns the time within which an unwanted run has ended, counted from when its agent began to stop it.
 func (t Timing) StopBound() time.Duration {
 	return t.StopBudget + LeaseBound(t.Lease) + killTime + TimerMargin
 }
--- a/internal/core/follow/follow.go
+++ b/internal/core/follow/follow.go
@@ -27,7 +27,7 @@
 	maxBackoff = 500 * time.Millisecond
 )
 
-// idlePoll is how often an idle follower, or one that waits for a change, checks whether it should still be idle or reading.
+// idlePoll is how often an idle follower, or one that waits for a change, checks whether it should be idle.
 const idlePoll = 100 * time.Millisecond
 
 // Options control how a table is followed. With the zero value, each change is read at once.
--- a/internal/core/follow/follow_test.go
+++ b/internal/core/follow/follow_test.go
@@ -145,17 +145,17 @@
 // TestRest checks that an idle follower reads nothing, even if it becomes idle while it waits for a change, and that it misses no change.
 func TestRest(t *testing.T) {
 	s := newStore()
-	var rest atomic.Bool
-	f, k := start(t, s, follow.Options{Idle: rest.Load})
+	var idle atomic.Bool
+	f, k := start(t, s, follow.Options{Idle: idle.Load})
 	eventually(t, "first reading", f.Current)
-	rest.Store(true)
-	eventually(t, "rest", func() bool { return !f.Current() })
+	idle.Store(true)
+	eventually(t, "idle", func() bool { return !f.Current() })
 	before := s.lists.Load() + s.watches.Load()
 	s.add()
 	time.Sleep(300 * time.Millisecond)
 	qt.Assert(t, s.lists.Load()+s.watches.Load(), qt.Equals, before)
 	qt.Assert(t, k.len(), qt.Equals, 0)
-	rest.Store(false)
+	idle.Store(false)
 	eventually(t, "the change meanwhile", func() bool { return k.len() == 1 && f.Current() })
 }
 
--- a/internal/core/ident/ident.go
+++ b/internal/core/ident/ident.go
@@ -27,7 +27,7 @@
 	ConfigVersion uint64
 )
 
-// UpstreamLife is one life of an upstream, from start to end. Its counters, runs and everything it was told end with it.
+// UpstreamLife is one life of an upstream, from start to end. Its counters, its runs and everything that was sent to it end with it.
 type UpstreamLife struct {
 	ID   UpstreamID
 	Born Born
--- a/internal/core/rule/rule.go
+++ b/internal/core/rule/rule.go
@@ -36,8 +36,8 @@
 	// CallersLost: an entry that has heard nothing for as long as agents keep its runs gives up the jobs that it held, because their
 	// callers may have gone to another entry in the meantime.
 	CallersLost Rule = "callers_lost"
-	// HearEnds: soon after such a silence, a request is accepted only if its connection does not end right after it, and a process that
-	// stood still reads from its connections before it places any task.
+	// HearEnds: soon after an entry has heard nothing for that long, it accepts a request only if the request's connection does not end right
+	// after it. A process that was paused reads from its connections before it places any task.
 	HearEnds Rule = "hear_ends"
 	// ReleaseFirst: an entry that receives a job which another entry is known to hold begins it only once the other entry has released it.
 	ReleaseFirst Rule = "release_first"
@@ -49,11 +49,12 @@
 	CordonOrder Rule = "cordon_order"
 	// CountStopping: a run that is being stopped, or that may have started, occupies room.
 	CountStopping Rule = "count_stopping"
-	// RoomHeard: an agent that starts accepts no work before a heartbeat has told it the room, which may have shrunk unnoticed.
+	// RoomHeard: an agent that starts accepts no work before a heartbeat has reported the upstream's capacity, which may have shrunk while no
+	// agent received heartbeats.
 	RoomHeard Rule = "room_heard"
 	// CrashAlone: only upstreams that are lost while a task is alone on them prove that the task crashes upstreams.
 	CrashAlone Rule = "crash_alone"
-	// CrashTold: agents tell all entries about the tasks under which upstreams were lost, and entries tell each other.
+	// CrashTold: agents tell all entries about the tasks that ran on upstreams when these were lost, and entries tell each other.
 	CrashTold Rule = "crash_told"
 	// CrashStored: a suspected task of a kept job is started again only once its crash is stored.
 	CrashStored Rule = "crash_stored"
--- a/internal/core/settings/options.go
+++ b/internal/core/settings/options.go
@@ -79,7 +79,7 @@
 }
 
 // LinkTimeout returns how long a silent link is kept. Messages arrive at intervals of keep_alive plus a tick. With the defaults, 250 ms
-// tolerate a standstill of the other side of 100 ms, as under a CPU quota, and leave 150 ms for dialling again before runs are given up.
+// tolerate a pause of 100 ms of the remote process, as under a CPU quota, and leave 150 ms for dialling again before runs are given up.
 func (l Links) LinkTimeout() time.Duration { return l.Silence * linkTimeoutEighths / 8 }
 
 // linkTimeoutEighths is the share of Silence, in eighths, after which a silent link is closed.
--- a/internal/core/verdict/verdict.go
+++ b/internal/core/verdict/verdict.go
@@ -10,9 +10,9 @@
 const (
 	// Ran: the upstream received the task and answered.
 	Ran Verdict = "ran"
-	// NotRun: no part of it has run, or will run under this request.
+	// NotRun: no part of the task or request has run, or will run because of this request.
 	NotRun Verdict = "not_run"
-	// MayHaveRun: no remaining process knows whether it has run.
+	// MayHaveRun: no remaining process knows whether the task or a part of the request has run.
 	MayHaveRun Verdict = "may_have_run"
 )
 
@@ -60,7 +60,7 @@
 	LeaseLost        Reason = "lease_lost"
 	Leaving          Reason = "entry_leaving"
 	NotFound         Reason = "not_found"
-	// OutOfTouch: the entry stood still or was cut off, and does not know whether the caller is still there.
+	// OutOfTouch: the entry was paused or cut off, and does not know whether the caller is still there.
 	OutOfTouch   Reason = "out_of_touch"
 	Overloaded   Reason = "overloaded"
 	Superseded   Reason = "superseded"
