--- a/internal/kept/acks/acks.go
+++ b/internal/kept/acks/acks.go
@@ -75,7 +75,8 @@
 	s.pending[id] = append(s.pending[id], e)
 }
 
-// HandleLookUp handles the stored rows of a job that was looked up. The ends of an open job are not acknowledged here.
+// HandleLookUp handles the stored rows of a job that was looked up. The ends of an open job are not acknowledged here,
+// but by the job's owner.
 func (s *Sender) HandleLookUp(id job.ID, open, ended rows.Row, err error) {
 	ends := s.pending[id]
 	delete(s.pending, id)
--- a/internal/kept/claims/claims.go
+++ b/internal/kept/claims/claims.go
@@ -48,7 +48,7 @@
 	Node string
 	// LeaseDuration is how long a claim lasts.
 	LeaseDuration time.Duration
-	// SettleTime is the time after an entry has stopped acting by which none of its runs is running any more.
+	// SettleTime is how long runs of an entry may go on after the entry has stopped acting.
 	SettleTime time.Duration
 	// LogEvent logs and counts an event.
 	LogEvent func(level logrus.Level, name string, f logrus.Fields)
@@ -63,7 +63,7 @@
 	// otherLeases are the leases of other entries according to the last read.
 	otherLeases map[record.LeaseID]record.Lease
 	// claims holds, by lease, the claims whose jobs this entry takes over. scanning is true while the open jobs are being
-	// read. nextScan is when the next scan for jobs without a lease is due.
+	// read. nextScan is when the next scan for jobs is due whose owner's lease no longer exists.
 	claims   map[record.LeaseID]*claim
 	scanning bool
 	nextScan time.Time
@@ -137,7 +137,7 @@
 // expired reports whether a lease expired so long ago that no run of its entry can still be running.
 func (c *Claims) expired(now time.Time, clock time.Duration, l record.Lease) bool {
 	if l.Node == c.opts.Node && now.Sub(c.ownLease.QuietSince()) > c.opts.SettleTime {
-		// The lease is of an earlier incarnation of this entry, or an earlier lease of this one.
+		// The lease is of an earlier incarnation of this entry, or an earlier lease of this incarnation.
 		return true
 	}
 	return clock > l.Until()+c.opts.SettleTime+lease.ClockMargin
@@ -160,7 +160,7 @@
 			return
 		}
 		if r.Outcome != jobstore.Done {
-			delete(c.claims, id) // the next read shows who has claimed it
+			delete(c.claims, id) // the next read shows who has claimed the lease
 			return
 		}
 		started.version = r.Version
--- a/internal/kept/jobstore/read.go
+++ b/internal/kept/jobstore/read.go
@@ -155,7 +155,7 @@
 // sweepBatch is how many jobs are deleted in one transaction: each has four rows, and a transaction at most 100 entries.
 const sweepBatch = 25
 
-// maxSweepBatches bounds the transactions of one sweep, to half of a part's share of two seconds.
+// maxSweepBatches bounds the transactions of one sweep: half of those that one part of the store accepts in two seconds.
 const maxSweepBatches = 200
 
 // Sweep deletes the rows of the jobs of a part that have expired, and returns the number of jobs.
--- a/internal/kept/owner/owner.go
+++ b/internal/kept/owner/owner.go
@@ -71,7 +71,7 @@
 	MaxRow int
 	// Retention is how long the state of an ended job can be queried.
 	Retention time.Duration
-	// SettleTime is the time after an entry has stopped acting by which none of its runs is running any more.
+	// SettleTime is how long runs of an entry may go on after the entry has stopped acting.
 	SettleTime time.Duration
 	// Without disables safety rules, for experiments only.
 	Without rule.Set
--- a/internal/kept/owner/owner_test.go
+++ b/internal/kept/owner/owner_test.go
@@ -20,11 +20,11 @@
 func TestAccept(t *testing.T) {
 	other := record.OpenJob{Owner: "other", Generation: 1, Sequence: 1}
 	for _, test := range []struct {
-		name  string
-		setUp func(h *harness)
-		write func(h *harness)
-		state verdict.State
-		begun int
+		name      string
+		setUp     func(h *harness)
+		write     func(h *harness)
+		state     verdict.State
+		submitted int
 	}{
 		{"stored", func(*harness) {}, func(h *harness) { h.completeWrites() }, verdict.Accepted, 1},
 		{"answer lost", func(*harness) {}, func(h *harness) { h.completeWrite(true) }, verdict.Accepted, 1},
@@ -53,7 +53,7 @@
 			test.write(h)
 			qt.Assert(t, h.answers[1].State, qt.Equals, test.state)
 			qt.Assert(t, h.answers[1].Verdict == verdict.NotRun, qt.Equals, test.state == verdict.Refused)
-			qt.Assert(t, h.submitted, qt.HasLen, test.begun)
+			qt.Assert(t, h.submitted, qt.HasLen, test.submitted)
 		})
 	}
 }
@@ -140,16 +140,16 @@
 // entry may take its jobs over.
 func TestLeaseExpires(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		without rule.Set
-		let     int
+		name     string
+		without  rule.Set
+		released int
 	}{{"rule enabled", nil, 1}, {"rule disabled", rule.Without(rule.OwnerLease), 0}} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarnessWithJob(t, test.without)
 			h.advance(2*time.Second, true)
 			qt.Assert(t, h.released, qt.HasLen, 0)
 			h.advance(lease-100*time.Millisecond, false)
-			qt.Assert(t, h.released, qt.HasLen, test.let)
+			qt.Assert(t, h.released, qt.HasLen, test.released)
 		})
 	}
 }
@@ -160,7 +160,7 @@
 	for _, test := range []struct {
 		name  string
 		setUp func(h *harness)
-		noted int
+		acks  int
 		void  bool
 	}{
 		{"open elsewhere", func(h *harness) { h.put(layout.OpenKey(jobID), record.OpenJob{Owner: "other"}) }, 0, false},
@@ -177,8 +177,8 @@
 			h.owner.HandleStrayEnd(h.now, agentA, end(0, 1, job.Done))
 			qt.Assert(t, h.lookups, qt.DeepEquals, []job.ID{jobID})
 			h.owner.HandleLookUp(jobID, h.Rows[layout.OpenKey(jobID)], h.Rows[layout.EndedKey(jobID)], nil)
-			qt.Assert(t, h.acks, qt.HasLen, test.noted)
-			if test.noted > 0 {
+			qt.Assert(t, h.acks, qt.HasLen, test.acks)
+			if test.acks > 0 {
 				qt.Assert(t, h.acks[0].void, qt.Equals, test.void)
 			}
 		})
--- a/internal/kept/owner/submit.go
+++ b/internal/kept/owner/submit.go
@@ -82,7 +82,7 @@
 // handleAccepted handles the result of the write of a new job's rows.
 func (o *Owner) handleAccepted(now time.Time, k *keptJob, r jobstore.Result) {
 	if o.jobs[k.id] != k {
-		return // the lease was lost meanwhile; the entry that takes it over finds the job
+		return // the lease was lost meanwhile; the entry that claims it finds the job
 	}
 	switch {
 	case r.Outcome == jobstore.Done:
--- a/internal/kept/owner/takeover_test.go
+++ b/internal/kept/owner/takeover_test.go
@@ -69,7 +69,7 @@
 }
 
 // TestStrayEndsAfterTakeOver checks which ends that are not stored a new owner counts and which it declares void. A run that
-// was given up, or of which another run has ended well, must not count as well.
+// was given up, or whose task another run has completed, must not count as well.
 func TestStrayEndsAfterTakeOver(t *testing.T) {
 	open := record.OpenJob{
 		Owner: "gone-0", Generation: 3, Sequence: 1, Ends: record.Ends{{Index: 1, Run: 2050}},
--- a/internal/kept/record/crash.go
+++ b/internal/kept/record/crash.go
@@ -18,7 +18,7 @@
 	o.Crashes = append(o.Crashes[:len(o.Crashes):len(o.Crashes)], crash.NewRow(c))
 }
 
-// DropCrashes removes the crashes of an upstream incarnation that was not lost after all.
+// DropCrashes removes the crashes of an upstream's life that was not lost after all.
 func (o *OpenJob) DropCrashes(r fleet.Refutation) {
 	var rest []crash.Row
 	for _, c := range o.Crashes {
@@ -29,7 +29,7 @@
 	o.Crashes = rest
 }
 
-// CrashesOf lists the crashes under the tasks of the job, whose id is not part of the stored rows.
+// CrashesOf lists the crashes of the job's tasks. id is the job's id, which is not part of the stored rows.
 func (o *OpenJob) CrashesOf(id job.ID) []fleet.Crash {
 	var out []fleet.Crash
 	for _, c := range o.Crashes {
