--- a/internal/config/cordon/peer.go
+++ b/internal/config/cordon/peer.go
@@ -7,7 +7,7 @@
 // processes seldom read a table at the same version.
 type Peer struct{ known map[Source]Snapshot }
 
-// NewPeer returns a Peer whose knowledge is unknown, so that it is sent every snapshot.
+// NewPeer returns a Peer for a process about which nothing is known, so that the process is sent every snapshot.
 func NewPeer() *Peer { return &Peer{make(map[Source]Snapshot)} }
 
 // NewPeerWithoutCordons returns a Peer that assumes that no zone is cordoned, so that it is sent only snapshots with cordons.
