--- a/internal/link/codec/codec.go
+++ b/internal/link/codec/codec.go
@@ -112,14 +112,14 @@
 	return u
 }
 
-// Room encodes an upstream's free resources and state.
+// Room encodes an upstream's free capacity and state.
 func Room(r fleet.Room) *wire.Msg {
 	return &wire.Msg{Kind: &wire.Msg_Room{Room: &wire.Room{
 		Free: resources(r.Free), Seq: r.Seq, ClockUs: r.Clock.Microseconds(), State: string(r.State), Pace: r.Pace,
 	}}}
 }
 
-// ReadRoom decodes an upstream's free resources and state.
+// ReadRoom decodes an upstream's free capacity and state.
 func ReadRoom(m *wire.Room) fleet.Room {
 	return fleet.Room{
 		Free: readResources(m.GetFree()), Seq: m.GetSeq(), Clock: microseconds(m.GetClockUs()),
@@ -235,17 +235,17 @@
 	return out
 }
 
-// Noted encodes that the ends of runs are stored or, with void, that they are ignored.
+// Noted encodes that the ends of runs are stored or, with void, that they will never be counted.
 func Noted(runs []fleet.RunRef, void bool) *wire.Msg {
 	return &wire.Msg{Kind: &wire.Msg_Noted{Noted: &wire.Noted{Void: void, Runs: runRefs(runs)}}}
 }
 
-// ReadNoted decodes which ends of runs are stored or, with void, ignored.
+// ReadNoted decodes which ends of runs are stored or, with void, will never be counted.
 func ReadNoted(m *wire.Noted) (runs []fleet.RunRef, void bool) {
 	return readRunRefs(m.GetRuns()), m.GetVoid()
 }
 
-// Ask encodes the request, with a number, for the ends of some jobs' runs that are not known to be stored.
+// Ask encodes the query of this number for those ends of the jobs' runs that are not known to be stored.
 func Ask(number uint64, jobs []job.ID) *wire.Msg {
 	m := &wire.Ask{Number: number}
 	for _, j := range jobs {
@@ -254,7 +254,7 @@
 	return &wire.Msg{Kind: &wire.Msg_Ask{Ask: m}}
 }
 
-// ReadAsk decodes a request for the ends of some jobs' runs, and its number.
+// ReadAsk decodes a query for the ends of jobs' runs, and its number.
 func ReadAsk(m *wire.Ask) (number uint64, jobs []job.ID) {
 	for _, j := range m.GetJobs() {
 		jobs = append(jobs, job.ID(j))
@@ -262,7 +262,7 @@
 	return m.GetNumber(), jobs
 }
 
-// Asked encodes that all ends requested by the Ask message of this number have been sent.
+// Asked encodes that all ends that the query of this number asked for have been sent.
 func Asked(number uint64) *wire.Msg {
 	return &wire.Msg{Kind: &wire.Msg_Asked{Asked: &wire.Asked{Number: number}}}
 }
--- a/internal/link/deflate/deflate.go
+++ b/internal/link/deflate/deflate.go
@@ -40,7 +40,7 @@
 	return w
 }
 
-// Compress returns the compressed text. It returns nil if the text is shorter than 200 bytes, longer than MaxText, or would not shrink.
+// Compress returns the compressed text. It returns nil if the text is shorter than minText, longer than MaxText, or would not shrink.
 func Compress(text string) []byte {
 	if len(text) < minText || len(text) > MaxText {
 		return nil
