--- a/internal/agent/upstream/alone.go
+++ b/internal/agent/upstream/alone.go
@@ -22,7 +22,7 @@
 type aloneOrder struct {
 	pendingOrder
 	since time.Time
-	// askedAt is when the upstream was last asked, before the start, whether it is alive; zero if it has not been asked.
+	// askedAt is when the poll was made whose answer is to show, before the start, that the upstream is alive; zero if there was none.
 	askedAt time.Time
 }
 
@@ -64,7 +64,8 @@
 	}
 }
 
-// dropAlone removes the order that waits to be started alone if when holds for it. Its entry is sent why, unless why is empty.
+// dropAlone removes the order that waits to be started alone if when returns true for it. The order's entry is sent a refusal with the
+// reason why, unless why is empty.
 func (u *Controller) dropAlone(why fleet.Reason, when func(p *pendingOrder) bool) {
 	a := u.aloneOrder
 	if a == nil || !when(&a.pendingOrder) {
@@ -77,7 +78,7 @@
 	u.markAllDirty()
 }
 
-// watchAlone keeps asking the upstream whether it is alive while a task is alone, so that the age of the task at a loss is known. It
+// watchAlone keeps polling the upstream while a task is alone, so that the age of the task at a loss is known. It
 // admits other tasks again once the task has been alone for long enough.
 func (u *Controller) watchAlone(now time.Time) {
 	switch {
--- a/internal/agent/upstream/bench_test.go
+++ b/internal/agent/upstream/bench_test.go
@@ -99,7 +99,7 @@
 	return fleet.OrderedRun{RunRef: fleet.RunRef{Task: task, Run: run}}
 }
 
-// newHarness returns a harness whose upstream has room for two tasks, with two entries that are linked and heard.
+// newHarness returns a harness whose upstream has room for two tasks, with two entries that are linked and have sent a keep-alive.
 func newHarness(t *testing.T, without rule.Set) *harness {
 	h := &harness{
 		t: t, now: time.Unix(1000, 0), ends: make(map[ident.Incarnation][]fleet.End), rooms: make(map[ident.Incarnation]fleet.Room),
--- a/internal/agent/upstream/ending_test.go
+++ b/internal/agent/upstream/ending_test.go
@@ -160,7 +160,7 @@
 	for range 2 {
 		h.controller.HoldDone(h.now, h.holds[len(h.holds)-1], call.HoldResult{Answer: call.Unanswered})
 	}
-	h.pass(timing.Lease) // the clock may be slow, and the time to kill is not over
+	h.pass(timing.Lease) // the upstream's clock may be slow, and lease.KillMargin is not over
 	h.controller.Tick(h.now)
 	qt.Assert(t, h.lateness, qt.DeepEquals, []time.Duration{0}) // the orphaning: its entry is silent
 	h.pass(time.Second)
--- a/internal/agent/upstream/hold.go
+++ b/internal/agent/upstream/hold.go
@@ -262,7 +262,7 @@
 		}
 	}
 	if u.saidEnded && u.failedHolds >= unreachableAfter && len(u.runs) == 0 {
-		u.hasLife, u.runsKnown = false, false // if it is still alive, its next heartbeat says so
+		u.hasLife, u.runsKnown = false, false // if the life has not ended, its next heartbeat makes it the present one again
 		u.markAllDirty()
 	}
 	u.requeryClaims(now)
--- a/internal/agent/upstream/kept_test.go
+++ b/internal/agent/upstream/kept_test.go
@@ -98,7 +98,7 @@
 	qt.Assert(t, h.holds[len(h.holds)-1].LeaseUntil, qt.Equals, call.Clock(0))
 }
 
-// TestQueryEnds: an entry that takes a job over is sent the job's ends once none of its runs belongs to another entry.
+// TestQueryEnds: an entry that takes a job over is sent the job's ends once none of the job's runs belongs to another entry.
 func TestQueryEnds(t *testing.T) {
 	h := newHarness(t, nil)
 	h.orderKept(one, 1)
@@ -107,7 +107,7 @@
 	h.controller.Flush(h.now)
 	qt.Assert(t, h.endsSent, qt.HasLen, 0)
 	qt.Assert(t, h.stops, qt.HasLen, 1)
-	h.list(call.Finished{Number: 1, Task: task, Run: 1, Result: call.ResultDone}) // it ended before the stop arrived
+	h.list(call.Finished{Number: 1, Task: task, Run: 1, Result: call.ResultDone}) // the run ended before its stop arrived
 	qt.Assert(t, h.endsSent, qt.DeepEquals, []uint64{7})
 	qt.Assert(t, h.ends[two], qt.DeepEquals, []fleet.End{{Task: task, Run: 1, Outcome: job.Done, Took: h.ends[one][0].Took, Kept: true}})
 	h.orderKept(two, 1025)
@@ -202,8 +202,8 @@
 	qt.Assert(t, h.seen(), qt.Equals, uint64(500))
 }
 
-// TestEarlierLeaseLapsesFirst: an agent that starts must not let the upstream forget ends that an earlier agent has left, nor start
-// anything, until the earlier agent's lease has certainly lapsed or the upstream lists that it has.
+// TestEarlierLeaseLapsesFirst: an agent that starts must not let the upstream forget ends that its earlier incarnation has left, nor
+// start anything, until the lease of that incarnation has certainly lapsed or the upstream lists that it has.
 func TestEarlierLeaseLapsesFirst(t *testing.T) {
 	left := call.Finished{Number: 1, Task: task, Run: 1, Result: call.ResultDone}
 	for _, test := range []struct {
--- a/internal/agent/upstream/life.go
+++ b/internal/agent/upstream/life.go
@@ -19,8 +19,9 @@
 // heartbeats of the new one as out of order, ignore that it drains, and acknowledge ends before they are listed. So all state here
 // belongs to one life. Only the upstream's own answers decide which life is present, because heartbeats may be delayed.
 
-// Heartbeat handles a heartbeat. One of an ended life is ignored, and one of the present life is applied. One of any other life is a
-// claim until the upstream has confirmed it; while no life is present, the life of the heartbeat becomes the present one at once.
+// Heartbeat handles a heartbeat. A heartbeat of an ended life is ignored, and a heartbeat of the present life is applied. If no life is
+// present, the life of the heartbeat becomes the present one at once. Otherwise the heartbeat is a claim until the upstream has answered
+// which life is present.
 func (u *Controller) Heartbeat(now time.Time, b lives.Heartbeat) {
 	if u.without.Has(rule.LifeBorn) {
 		b.Born = 0
@@ -107,7 +108,7 @@
 	c.EndQuery()
 	switch h.Answer {
 	case call.Fenced:
-		// An earlier agent has called this life, or another life checks tokens before ids.
+		// An earlier incarnation of the agent has called this life, or another life checks tokens before ids.
 		c.RaiseToken(now, query.Token)
 		u.lease.RaiseTokenAbove(now, query.Token)
 		u.queryClaim(now, c)
@@ -211,8 +212,8 @@
 	}
 }
 
-// Recall adopts an upstream that an earlier agent process knew, before its first heartbeat. If that life has ended, the answer to the
-// first call says so. That answer also brings the first reading of its clock.
+// Recall adopts the life that an earlier incarnation of the agent knew, before the first heartbeat of that life. If the life has ended,
+// the answer to the first call says so. Otherwise that answer brings the first reading of the life's clock.
 func (u *Controller) Recall(now time.Time, s lives.Snapshot) {
 	b := s.Heartbeat()
 	if u.without.Has(rule.LifeBorn) {
--- a/internal/agent/upstream/life_test.go
+++ b/internal/agent/upstream/life_test.go
@@ -340,7 +340,7 @@
 	}
 }
 
-// TestLeavingIsRecalled: the agent's next process knows that an upstream drains, even if a delayed heartbeat from before arrives first.
+// TestLeavingIsRecalled: the agent's next incarnation knows that an upstream drains, even if a delayed heartbeat from before arrives first.
 func TestLeavingIsRecalled(t *testing.T) {
 	h := newBornHarness(t)
 	h.beatOf(1, 10, true)
--- a/internal/agent/upstream/listed.go
+++ b/internal/agent/upstream/listed.go
@@ -83,16 +83,16 @@
 	}
 }
 
-// inspectFirstListing checks whether an earlier agent has left runs or ends at the upstream, and if so sets noAckUntil. Ends of kept jobs
-// that their entries have not stored may be among these. Once the earlier agent's lease has lapsed, they count for nothing, and the
-// upstream may forget them.
+// inspectFirstListing checks whether an earlier incarnation of the agent has left runs or ends at the upstream, and if so sets
+// noAckUntil. Among the ends may be some of kept jobs that their entries have not stored. Once the lease of the earlier incarnation has
+// lapsed, these ends count for nothing, and the upstream may forget them.
 func (u *Controller) inspectFirstListing(h call.HoldResult) {
 	last := len(h.Finished) - 1
 	lapsed := len(h.Running) == 0 && (last < 0 || h.Finished[last].Result == call.ResultLapsed)
 	if !lapsed && !u.without.Has(rule.AckAfterLapse) {
 		longest := u.timing.Lease
 		if u.life.Born != 0 {
-			longest = time.Duration(lease.MaxLength) // the earlier agent may have extended the lease by the clock of a former life
+			longest = time.Duration(lease.MaxLength) // the earlier incarnation may have extended the lease by the clock of a former life
 		}
 		u.noAckUntil = u.start.Add(fleet.LeaseBound(longest) + lease.KillMargin)
 	}
@@ -111,7 +111,7 @@
 	if r == nil || r.number != f.Run {
 		return
 	}
-	defer delete(u.finishedUnlisted, key) // its end is listed
+	defer delete(u.finishedUnlisted, key) // finish adds the run, but its end is listed
 	switch f.Result {
 	case call.ResultDone:
 		u.finish(now, r, job.Done, "", f.Checkpoint)
@@ -196,7 +196,8 @@
 	}
 }
 
-// stopStray stops a stray: a run that the agent has no record of. It was started by an earlier agent, or its start call arrived late.
+// stopStray stops a stray: a run that the agent has no record of. An earlier incarnation of the agent has started it, or
+// its start call arrived late.
 func (u *Controller) stopStray(now time.Time, l call.Running) {
 	key := fleet.RunRef{Task: l.Task, Run: l.Run}
 	at, known := u.strays[key]
--- a/internal/agent/upstream/room.go
+++ b/internal/agent/upstream/room.go
@@ -15,7 +15,7 @@
 // roomSpacing apart, so that an agent sends at most 333 of them a second however many entries there are. Without that bound, agents sent
 // up to 248 kB a second at 300 VMs. Entries that learn of the same room at once compete for it: with twelve entries, 67 upstreams and
 // more work than fits, sending in turn takes 23,000 instead of 34,000 messages and 8,200 instead of 10,500 orders a second, and 37% fewer
-// orders find the room taken, at the same service (hillreel load).
+// orders find the room taken, at the same level of service (hillreel load).
 const (
 	roomInterval = 10 * time.Millisecond
 	roomSpacing  = 3 * time.Millisecond
--- a/internal/agent/upstream/sessions.go
+++ b/internal/agent/upstream/sessions.go
@@ -77,7 +77,7 @@
 // maxUnsent bounds the ends that are kept for an entry whose session broke.
 const maxUnsent = 256
 
-// unsentTTL is how long such ends are kept. An entry that links again later has by then settled its tasks by timeout.
+// unsentTTL is how long unsent ends are kept. An entry that links again later has by then settled its tasks by timeout.
 const unsentTTL = 2 * time.Second
 
 // EntryLinked handles a new session with an entry.
@@ -186,7 +186,7 @@
 	u.dropAlone(fleet.StaleSession, func(p *pendingOrder) bool { return p.owner == entry })
 	for _, r := range u.sortedRuns() {
 		if r.successor != nil && r.successor.owner == entry {
-			u.refuse(*r.successor, fleet.StaleSession) // its link may still be up, and no other message would tell it
+			u.refuse(*r.successor, fleet.StaleSession) // the entry's link may still be up, and no other message reports this
 			r.successor = nil
 		}
 		if r.owner == entry && (r.stop == nil || !r.stop.unwanted) {
--- a/internal/agent/upstream/upstream.go
+++ b/internal/agent/upstream/upstream.go
@@ -96,7 +96,7 @@
 	observer Observer
 	start    time.Time
 
-	// life is the upstream's present life, or its last one; hasLife is false while none is present. All numbers, clock readings and runs
+	// life is the upstream's present life, or its last one; hasLife is false while no life is present. All numbers, clock readings and runs
 	// kept here belong to that life alone.
 	life    ident.UpstreamLife
 	hasLife bool
@@ -118,7 +118,7 @@
 
 	// zone says whether operators have cordoned the VM's availability zone.
 	zone ZoneState
-	// owners tracks which entries hold jobs, and which may not order their tasks any more.
+	// owners tracks which entries hold jobs, and which may no longer order a job's tasks because another entry has taken the job over.
 	owners *owners.Registry
 
 	lease lease.Lease
@@ -129,13 +129,14 @@
 	ends     ends.Tracker
 	// finishedUnlisted holds runs of kept jobs that were finished before their ends were listed.
 	finishedUnlisted map[fleet.RunRef]bool
-	// noAckUntil is the time until which the lease of an earlier agent may be in force. Before it, ends that the earlier agent has left
-	// are not acknowledged.
+	// noAckUntil is the time until which the lease of an earlier incarnation of the agent may be in force. Before it, ends that the
+	// earlier incarnation has left are not acknowledged.
 	noAckUntil time.Time
 
 	// runsKnown is true once the present life has listed what runs.
 	runsKnown bool
-	// holding is true while a hold is in flight, polling while a poll is. After a failure, none is made before nextHoldAt or nextPollAt.
+	// holding is true while a hold is in flight, polling while a poll is. After a failed hold, or one that was answered without a wait, the
+	// next hold is not made before nextHoldAt. A failed poll is not repeated before nextPollAt.
 	holding, polling       bool
 	nextHoldAt, nextPollAt time.Time
 	// listedClock is the upstream's clock in the newest listing that was applied: answers may arrive out of order.
@@ -271,7 +272,7 @@
 	return fleet.OrderedRun{RunRef: fleet.RunRef{Task: p.order.Task(p.index), Run: t.Run}, ID: t.ID}
 }
 
-// Caller makes calls to the upstream. Each call is answered later by StartDone, StopDone or HoldDone.
+// Caller makes calls to the upstream. The result of each call is passed later to StartDone, StopDone or HoldDone.
 type Caller interface {
 	Start(c call.Start)
 	Stop(c call.Stop)
