--- a/internal/agent/node/calls.go
+++ b/internal/agent/node/calls.go
@@ -59,7 +59,7 @@
 		func(a call.Answer, clock call.Clock) any { return stopDone{o, a, clock} })
 }
 
-// Hold extends the lease and asks which runs are at the upstream.
+// Hold asks which runs are at the upstream, and extends the lease if the call carries one. It also makes polls and the queries of claims.
 func (c *caller) Hold(o call.Hold) {
 	limit := o.Wait + c.callTimeout.Limit()
 	go func() {
--- a/internal/agent/node/cordons.go
+++ b/internal/agent/node/cordons.go
@@ -11,8 +11,8 @@
 // SetCordons passes the node a snapshot of the cordoned zones that one source in the store lists.
 func (n *Node) SetCordons(s cordon.Snapshot) { n.loop.Post(cordonsRead{s}) }
 
-// adoptCordons adopts a snapshot from the store or from an entry if it is newer than the known one. It passes it to all entries, because
-// the store may refuse the calls of some of them.
+// adoptCordons adopts a snapshot from the store or from an entry if it is newer than the known one. It then sends its
+// snapshots to all entries, because the store may refuse the calls of some entries.
 func (n *Node) adoptCordons(s cordon.Snapshot, source string) {
 	if !n.cordons.Adopt(s) {
 		return
--- a/internal/agent/node/crashes.go
+++ b/internal/agent/node/crashes.go
@@ -40,8 +40,8 @@
 	n.broadcastCrashes(nil, nil, []fleet.Refutation{r})
 }
 
-// recallCrashes adds the crashes that an earlier process of this agent has saved, and reports the new ones to all entries. If all processes
-// have stopped since, no other process knows of them.
+// recallCrashes adds the crashes that an earlier incarnation of this agent has saved, and reports the new ones to all entries. If all
+// processes have stopped since, no other process knows of these crashes.
 func (n *Node) recallCrashes(now time.Time, all []fleet.Crash) {
 	recent := slices.DeleteFunc(slices.Clone(all), func(c fleet.Crash) bool { return time.Since(time.UnixMilli(int64(c.Loss))) > crash.Retention })
 	n.broadcastCrashes(nil, n.addCrashes(now, recent), nil)
--- a/internal/agent/node/links.go
+++ b/internal/agent/node/links.go
@@ -314,8 +314,8 @@
 	s.links.Send(to, codec.Progress(runs))
 }
 
-// Asked reports that all ends that the query with this number asked for have been sent.
+// EndsSent reports that all ends that the query with this number asked for have been sent.
 func (s *sender) EndsSent(to ident.Incarnation, number uint64) { s.links.Send(to, codec.Asked(number)) }
 
-// Settled reports that no run of an earlier session remains.
+// Settled reports that no run of the entry's earlier sessions remains.
 func (s *sender) Settled(to ident.Incarnation) { s.links.Send(to, codec.Settled()) }
--- a/internal/agent/node/links_test.go
+++ b/internal/agent/node/links_test.go
@@ -24,7 +24,7 @@
 func (emptyMemory) Save(context.Context, lives.Snapshot) error { return nil }
 
 // TestSilentGreeting guards against waiting too long for an entry whose connection falls silent before its greeting: the agent gives the
-// connection up as soon as a silent link. With each greeting in a row that times out, the timeout doubles.
+// connection up after the same time as a silent link. With each greeting in a row that times out, the timeout doubles.
 func TestSilentGreeting(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/agent/node/memory.go
+++ b/internal/agent/node/memory.go
@@ -21,7 +21,7 @@
 // memoryRetryPause is the pause between two attempts to read or write the memory.
 const memoryRetryPause = 300 * time.Millisecond
 
-// recall loads the snapshot that an earlier process of this agent has saved. It retries until it succeeds, or until the agent is ready
+// recall loads the snapshot that an earlier incarnation of this agent has saved. It retries until it succeeds, or until the agent is ready
 // because of a heartbeat and no longer needs the snapshot.
 func (n *Node) recall() {
 	for n.ctx.Err() == nil {
--- a/internal/agent/node/node.go
+++ b/internal/agent/node/node.go
@@ -146,7 +146,7 @@
 type (
 	// upstreamLeft reports that the upstream has ended.
 	upstreamLeft struct{ id ident.UpstreamID }
-	// recalled carries the snapshot that an earlier process of this agent has saved.
+	// recalled carries the snapshot that an earlier incarnation of this agent has saved.
 	recalled struct{ known lives.Snapshot }
 	// orderDone carries the result of a start or stop call. took is how long the call lasted, and limit its timeout; answered tells
 	// whether there was an answer. end is a startDone or a stopDone.
@@ -187,7 +187,7 @@
 		answer call.Answer
 		clock  call.Clock
 	}
-	// holdDone carries the result of a hold call.
+	// holdDone carries the result of a hold, a poll, or the query of a claim.
 	holdDone struct {
 		call call.Hold
 		held call.HoldResult
--- a/internal/agent/node/observe.go
+++ b/internal/agent/node/observe.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// StateChanged logs a change of the upstream's state that entries are told.
+// StateChanged logs a change of the upstream's state as it is reported to entries.
 func (o *observer) StateChanged(from, to fleet.State, why string) {
 	o.counters.Add("state_"+string(to), 1)
 	o.log.WithFields(logrus.Fields{"from": from, "to": to, "why": why}).Info("upstream_state")
@@ -109,7 +109,7 @@
 	}).Warn("runs_orphaned")
 }
 
-// EndsUnconfirmed logs the ends of runs of which a lost entry may not have been told. The entry may place their tasks again.
+// EndsUnconfirmed logs the ends that an entry whose link has ended may not have received. The entry may place the tasks of these runs again.
 func (o *observer) EndsUnconfirmed(owner ident.Incarnation, ends []fleet.End) {
 	o.counters.Add("ends_unconfirmed", int64(len(ends)))
 	var names []string
@@ -176,17 +176,18 @@
 	}).Warn("upstream_lost")
 }
 
-// StrayChanged logs a run at the upstream that this agent has not ordered. Such a run was ordered by an earlier process of the agent, or its
-// start call was delayed.
+// StrayChanged logs a run at the upstream that this agent has not ordered. Such a run was ordered by an earlier incarnation of the agent, or
+// its start call was delayed.
 func (o *observer) StrayChanged(r fleet.RunRef, event upstream.StrayEvent) {
 	o.counters.Add(string(event), 1)
 	o.log.WithFields(logrus.Fields{"job": r.Task.Job, "task": r.Task, "run": r.Run}).Info(string(event))
 }
 
-// ListingOvertaken counts a listing of runs that is ignored because it is outdated. It does not log, since each answer may have one.
+// ListingOvertaken counts a listing of runs that is ignored because it is outdated. It does not log the listing, since every
+// answer may contain an outdated one.
 func (o *observer) ListingOvertaken() { o.counters.Add("listings_overtaken", 1) }
 
-// StartUnsure logs a start call that got no answer.
+// StartUnsure logs a start call that got no answer, or one that does not say whether the run was started.
 func (o *observer) StartUnsure(task job.TaskID, run job.Run) {
 	o.counters.Add("starts_unsure", 1)
 	o.log.WithFields(logrus.Fields{"job": task.Job, "task": task, "run": run}).Info("start_unsure")
