--- a/internal/agent/lives/lives.go
+++ b/internal/agent/lives/lives.go
@@ -1,9 +1,9 @@
-// Package lives tracks the known lives of an agent's upstream other than the present one. A life is one incarnation of the upstream: one
-// run of its process.
+// Package lives tracks the known lives of an agent's upstream other than the present one. A life is one incarnation of the upstream,
+// from the start of its process to its end.
 //
 // A heartbeat of a life other than the present one may come from a later life, or be a delayed one from an earlier life; only the
 // upstream can tell which. If the agent trusted a delayed heartbeat, it would report all runs as lost while they go on. It would also
-// lose the upstream itself, because the heartbeats of the present life would count as those of a past one. So such a heartbeat is a claim
+// lose the upstream itself, because the heartbeats of the present life would count as those of an ended one. So such a heartbeat is a claim
 // until the upstream has answered a query.
 package lives
 
@@ -31,14 +31,14 @@
 	Draining bool
 	// ColdFor is how much longer the upstream is slow because of its warm-up.
 	ColdFor time.Duration
-	// Recalled: this is not a received heartbeat, but what an earlier process of the agent has stored.
+	// Recalled: this is not a received heartbeat, but what an earlier incarnation of the agent has stored.
 	Recalled bool
 }
 
 // Life returns the life that sent the heartbeat.
 func (b *Heartbeat) Life() ident.UpstreamLife { return ident.UpstreamLife{ID: b.ID, Born: b.Born} }
 
-// Snapshot is what the agent's next process should know of the upstream. It has to be stored elsewhere: the VM keeps nothing, and the
+// Snapshot is what the agent's next incarnation should know of the upstream. It has to be stored elsewhere: the VM keeps nothing, and the
 // upstream doesn't at once repeat messages that were acknowledged.
 type Snapshot struct {
 	fleet.Upstream
--- a/internal/agent/lives/lives_test.go
+++ b/internal/agent/lives/lives_test.go
@@ -15,8 +15,8 @@
 	return lives.Heartbeat{Upstream: fleet.Upstream{ID: id}, Born: born, Sequence: sequence, Draining: draining}
 }
 
-// TestClaims: the newest heartbeat of a claimed life counts, whatever the order of arrival; once one says that the life drains, that
-// stays.
+// TestClaims: the newest heartbeat of a claimed life counts, whatever the order of arrival. Once any heartbeat says that the life
+// drains, the life counts as draining for good.
 func TestClaims(t *testing.T) {
 	for _, test := range []struct {
 		name       string
