--- a/internal/agent/ends/ends.go
+++ b/internal/agent/ends/ends.go
@@ -1,8 +1,8 @@
 // Package ends tracks the ends that an agent's upstream lists, and up to which number the upstream may forget them.
 //
 // The upstream remembers the end of a kept job's run until the job's entry has stored it: the remembered end is the evidence that the
-// task must not run again. The upstream forgets all ends up to a number, so an end that is withheld from being forgotten withholds all
-// later ones too.
+// task must not run again. The upstream forgets all ends up to a number, so while one end must not be forgotten, all later ends
+// are remembered too.
 package ends
 
 import (
@@ -140,7 +140,7 @@
 }
 
 // DueForResend returns the ends that are to be sent again now, each with the entry to send it to. That is not always the entry that
-// ordered the run, since the job may not belong to it any more.
+// ordered the run, since another entry may have the job by now.
 func (t *Tracker) DueForResend(now time.Time, entries []ident.Incarnation) (out []*Withheld, to []ident.Incarnation) {
 	if len(entries) == 0 {
 		return nil, nil
