--- a/internal/agent/condition/condition.go
+++ b/internal/agent/condition/condition.go
@@ -11,12 +11,12 @@
 	AgentLeaving bool
 	// Draining: the upstream has announced that it ends soon. SaidEnded: it has sent a message that it has ended.
 	Draining, SaidEnded bool
-	// Described: a heartbeat has described the present life of the upstream. RoomReported: this process of the agent knows the room from
-	// a heartbeat.
+	// Described: a heartbeat has described the present life of the upstream. RoomReported: this incarnation of the agent knows the room
+	// from a heartbeat.
 	Described, RoomReported bool
 	// Listed: the upstream has listed what runs there.
 	Listed bool
-	// EarlierLease: a lease that an earlier process of the agent has extended may still be in force.
+	// EarlierLease: a lease that an earlier incarnation of the agent has extended may still be in force.
 	EarlierLease bool
 	// Silent: several consecutive calls got no answer. AnswerOverdue: an answer is so late that another life may have begun.
 	Silent, AnswerOverdue bool
