--- a/internal/agent/health/health.go
+++ b/internal/agent/health/health.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// RecordFailure records that a run failed, by a fault of the upstream as far as is known.
+// RecordFailure records that a run or a start failed, through a fault of the upstream as far as is known.
 func (h *Health) RecordFailure(now time.Time) {
 	h.failureScore += failureWeight * (1 - h.failureScore)
 	h.probeAt = now.Add(probePause)
@@ -102,7 +102,7 @@
 // IsSlow reports whether the upstream is slow compared with others. median is the median of all paces; zero if it is unknown.
 func (h *Health) IsSlow(median float64) bool { return fleet.Slow(h.Pace(), median) }
 
-// IsStalled reports whether a run counts as stalled that has made no progress for idle.
+// IsStalled reports whether a run that has made no progress for idle counts as stalled, given its estimate.
 func IsStalled(idle, estimate time.Duration) bool {
 	return idle > stallBase+time.Duration(stallShare*float64(estimate))
 }
