--- a/internal/agent/peers/peers.go
+++ b/internal/agent/peers/peers.go
@@ -17,9 +17,9 @@
 	Failing bool
 }
 
-// Choose returns the addresses that an agent dials: all entries that have asked for it, and further ones until most entries that are not
-// failing are chosen. Entries are ranked for each agent by a hash of both names (rendezvous hashing), so that an entry that joins or
-// leaves changes few choices.
+// Choose returns the addresses that an agent dials. It chooses all entries that have asked for the agent, and further entries until the
+// number of chosen entries that are not failing reaches most. Entries are ranked for each agent by a hash of both names (rendezvous
+// hashing), so that an entry that joins or leaves changes few choices.
 func Choose(agent string, most int, all []Candidate) map[string]bool {
 	ranked := slices.Clone(all)
 	slices.SortFunc(ranked, func(a, b Candidate) int {
