--- a/internal/agent/call/call.go
+++ b/internal/agent/call/call.go
@@ -75,7 +75,7 @@
 	Full Answer = "full"
 	// Declined: the upstream did nothing, for another reason that it gave.
 	Declined Answer = "declined"
-	// WrongInstance: another life of the upstream answered.
+	// WrongInstance: an upstream with another ID answered, and refused the call.
 	WrongInstance Answer = "wrong_instance"
 	// Unanswered: there was no answer, so it is unknown whether the call was carried out.
 	Unanswered Answer = "unanswered"
