--- a/internal/agent/lease/lease.go
+++ b/internal/agent/lease/lease.go
@@ -30,7 +30,7 @@
 	return Lease{length: length, token: newToken(now)}
 }
 
-// newToken returns a token that is higher than those of all earlier agents of this VM: these were at most the VM's time of day, in Unix
+// newToken returns a token that is higher than those of all earlier agents of this VM: these tokens were at most the VM's time of day, in Unix
 // milliseconds. If the VM's clock was set back in the meantime, the upstream refuses the token, and RaiseTokenAbove finds a higher one.
 func newToken(now time.Time) call.Token { return call.Token(now.UnixMilli()) }
 
