--- a/internal/agent/snapshot/snapshot.go
+++ b/internal/agent/snapshot/snapshot.go
@@ -47,7 +47,7 @@
 	CPU     int64            `json:"cpu_millis"`
 	Mem     int64            `json:"mem_mb"`
 	GPU     int64            `json:"gpu"`
-	// Draining: the upstream has announced that it leaves.
+	// Draining: the upstream has announced that it ends soon.
 	Draining bool `json:"draining"`
 	// Crashes are the crashes of this VM's upstreams.
 	Crashes []crashRow `json:"crashes,omitempty"`
