--- a/internal/entry/dispatch/agents.go
+++ b/internal/entry/dispatch/agents.go
@@ -163,18 +163,18 @@
 			continue
 		}
 		if !successor.HasAnswered() {
-			t.queryAgent(successor)
+			t.sendEmptyOrder(successor)
 			return
 		}
 		t.settle(now, a, fleet.AgentReplaced)
 	}
 }
 
-// queryAgent sends an order without tasks, which the agent acknowledges in its next report of free capacity. The query
+// sendEmptyOrder sends an order without tasks, which the agent acknowledges in its next report of free capacity. The order
 // guards against delayed reports: a connection opened by an earlier incarnation of the agent may be held up in the network,
 // and its report may arrive when the present incarnation has runs but no link. If that report were attributed to a
 // successor of the present incarnation, those runs would be started elsewhere while they continue.
-func (t *Table) queryAgent(a *agentState) {
+func (t *Table) sendEmptyOrder(a *agentState) {
 	if a.HasOrders() {
 		return
 	}
--- a/internal/entry/dispatch/agents_test.go
+++ b/internal/entry/dispatch/agents_test.go
@@ -29,11 +29,11 @@
 			b.table.HandleLinked(b.now, 9, "vm", "z")
 			b.table.HandleUpstream(b.now, 9, fleet.Upstream{ID: ident.UpstreamID(lost.String()), Service: "publish", Total: job.Resources{CPU: 2000}})
 			b.room(9, fleet.Clearing, 2000, 0)
-			qt.Assert(b.t, b.queries, qt.HasLen, 0)
+			qt.Assert(b.t, b.emptyOrders, qt.HasLen, 0)
 			b.room(9, fleet.Ready, 2000, 0)
 			qt.Assert(b.t, b.orders, qt.HasLen, 1)
-			qt.Assert(b.t, b.queries, qt.HasLen, 1)
-			b.room(9, fleet.Ready, 2000, b.queries[0].Seq)
+			qt.Assert(b.t, b.emptyOrders, qt.HasLen, 1)
+			b.room(9, fleet.Ready, 2000, b.emptyOrders[0].Seq)
 		}, 0},
 		{"a connection of an earlier agent is delayed", func(b *harness, lost ident.Incarnation) {
 			b.table.HandleLinked(b.now, 9, "vm", "z")
@@ -41,7 +41,7 @@
 			b.room(9, fleet.Ready, 2000, 0)
 			b.room(9, fleet.Ready, 1000, 0)
 			b.table.HandleUnlinked(b.now, 9)
-			qt.Assert(b.t, b.queries, qt.HasLen, 1)
+			qt.Assert(b.t, b.emptyOrders, qt.HasLen, 1)
 		}, timing.SettleAfter()},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -44,10 +44,10 @@
 	now    time.Time
 	table  *dispatch.Table
 	orders []order
-	// queries holds the orders without tasks.
-	queries []order
-	stops   []stop
-	answers map[dispatch.CallerID]dispatch.Answer
+	// emptyOrders holds the orders without tasks.
+	emptyOrders []order
+	stops       []stop
+	answers     map[dispatch.CallerID]dispatch.Answer
 	// summaries holds the summary of each answered job.
 	summaries map[job.ID]dispatch.Summary
 	// stopReports and resubmissions hold what the observer was told of stops and of resubmitted jobs.
@@ -58,7 +58,7 @@
 
 func (b *harness) Order(a ident.Incarnation, o fleet.Order) {
 	if len(o.Tasks) == 0 {
-		b.queries = append(b.queries, order{a, o})
+		b.emptyOrders = append(b.emptyOrders, order{a, o})
 		return
 	}
 	b.orders = append(b.orders, order{a, o})
--- a/internal/entry/process/coverage.go
+++ b/internal/entry/process/coverage.go
@@ -19,9 +19,9 @@
 	// minUpstreams is the number of linked upstreams of a service below which the entry asks for more. With fewer upstreams, it is more
 	// likely that none of them has free capacity. A small service may even have no linked upstream at all.
 	minUpstreams = 24
-	// minShortLooks is the number of checks in a row that must find too few upstreams, because every entry is linked to few agents while
+	// minShortChecks is the number of checks in a row that must find too few upstreams, because every entry is linked to few agents while
 	// a region starts.
-	minShortLooks = 4
+	minShortChecks = 4
 )
 
 // coverage asks agents of services with few linked upstreams to link to this entry. If there are so many entries that each agent links to
@@ -33,12 +33,12 @@
 	// maxLinks is the number of entries to which an agent links. If there are no more entries than that, all agents are linked already.
 	maxLinks int
 	cancel   context.CancelFunc
-	// shortLooks counts, for each service, the latest checks in a row that have found too few upstreams.
-	shortLooks map[ident.Service]int
+	// shortChecks counts, for each service, the latest checks in a row that have found too few upstreams.
+	shortChecks map[ident.Service]int
 }
 
 func newCoverage(n *node.Node, d *members.Directory, r *members.Registrar, maxLinks int) *coverage {
-	return &coverage{node: n, dir: d, register: r, maxLinks: maxLinks, shortLooks: make(map[ident.Service]int)}
+	return &coverage{node: n, dir: d, register: r, maxLinks: maxLinks, shortChecks: make(map[ident.Service]int)}
 }
 
 // Start starts the periodic checks.
@@ -81,11 +81,11 @@
 	var out []ident.Service
 	for _, s := range slices.Sorted(maps.Keys(services)) {
 		if count[s] >= minUpstreams {
-			delete(c.shortLooks, s)
+			delete(c.shortChecks, s)
 			continue
 		}
-		c.shortLooks[s]++
-		if c.shortLooks[s] >= minShortLooks {
+		c.shortChecks[s]++
+		if c.shortChecks[s] >= minShortChecks {
 			out = append(out, s)
 		}
 	}
