--- a/commands/demo.go
+++ b/commands/demo.go
@@ -24,7 +24,7 @@
 
 type demoCommand struct{}
 
-// Size of the set that the demo runs, and rate of the jobs that it sends, which model the publishing of a podcast.
+// Size of the cluster that the demo runs, and pause between its jobs, which model the publishing of a podcast.
 const (
 	demoEntries  = 3
 	demoAgents   = 4
@@ -59,30 +59,30 @@
 	if err != nil {
 		return err
 	}
-	set, err := embedded.Start(embedded.Options{
+	cluster, err := embedded.Start(embedded.Options{
 		Entries: demoEntries, Agents: demoAgents, Cores: demoCores, Service: demoService, Log: log, FixedPorts: c.Bool("keep"),
 	})
 	if err != nil {
 		return cli.Exit(err.Error(), exit.Failed)
 	}
 	defer func() {
-		// Links break while the set stops; warnings about them would be misleading.
+		// Links break while the cluster stops; warnings about them would be misleading.
 		log.Logger.SetLevel(logrus.ErrorLevel)
-		set.Stop()
+		cluster.Stop()
 	}()
 	fmt.Fprintf(out, "set: a store, %d entries, %d agents with upstreams of %d cores\n", demoEntries, demoAgents, demoCores)
-	r, err := sendJobs(ctx, set.Callers(), c.Duration("for"))
+	r, err := sendJobs(ctx, cluster.Callers(), c.Duration("for"))
 	if err != nil {
 		return cli.Exit(err.Error(), exit.Failed)
 	}
-	ok := r.print(out, set)
+	ok := r.print(out, cluster)
 	if c.Bool("keep") {
 		fmt.Fprintf(out, "\nthe set keeps running\ncallers: http://%s\nmetrics: http://127.0.0.1:7500/metrics\noperators' token: %s\n",
-			set.Callers()[0], embedded.Token)
+			cluster.Callers()[0], embedded.Token)
 		awaitStop(ctx, notifySignals(), log, nil)
 	}
 	switch {
-	case len(set.Ledger.Violations()) > 0:
+	case len(cluster.Ledger.Violations()) > 0:
 		return cli.Exit("a task had two runs at a time, or an upstream had more tasks than room", exit.Violation)
 	case !ok:
 		return cli.Exit("a job did not complete", exit.Failed)
@@ -148,14 +148,14 @@
 }
 
 // print prints the counts and response times. It reports whether at least one job was answered and all jobs completed.
-func (r *demoResult) print(out io.Writer, set *embedded.Cluster) bool {
-	starts, done := set.Ledger.Counts()
+func (r *demoResult) print(out io.Writer, cluster *embedded.Cluster) bool {
+	starts, done := cluster.Ledger.Counts()
 	total := 0
 	for _, n := range r.states {
 		total += n
 	}
 	fmt.Fprintf(out, "jobs                %d, complete %d, without answer %d\n", total, r.states[verdict.Complete], len(r.errors))
 	fmt.Fprintf(out, "response time       p50 %d ms, p99 %d ms\n", r.times.ValueAtQuantile(50), r.times.ValueAtQuantile(99))
-	fmt.Fprintf(out, "tasks               %d, runs %d, ended well %d, rules broken %d\n", r.tasks, starts, done, len(set.Ledger.Violations()))
+	fmt.Fprintf(out, "tasks               %d, runs %d, ended well %d, rules broken %d\n", r.tasks, starts, done, len(cluster.Ledger.Violations()))
 	return r.states[verdict.Complete] == total && total > 0 && len(r.errors) == 0
 }
--- a/commands/drain_test.go
+++ b/commands/drain_test.go
@@ -118,7 +118,7 @@
 	time.Sleep(300 * time.Millisecond)
 	dial(t, front)
 	qt.Assert(t, s.processes["entry-1"].Wait(), qt.IsNil)
-	qt.Assert(t, time.Since(began) < 2500*time.Millisecond, qt.IsTrue, qt.Commentf("left after %v", time.Since(began)))
+	qt.Assert(t, time.Since(began) < 2500*time.Millisecond, qt.IsTrue, qt.Commentf("shut down after %v", time.Since(began)))
 	qt.Assert(t, s.log("entry-1"), qt.Not(qt.Contains), "requests_cut")
 }
 
--- a/commands/process_test.go
+++ b/commands/process_test.go
@@ -221,7 +221,7 @@
 //
 // Requests are cut if the entry stops receiving signals after the first one, because a signal that isn't received ends a process
 // immediately. This cut 15 requests 5 ms after a stop signal and 4 ms after a reload signal. With a millisecond between the two
-// signals, none of the 30 jobs gets an answer.
+// signals, none of the 30 jobs got an answer. All get one if the entry receives signals until it has ended.
 func TestDrainCutsNothing(t *testing.T) {
 	for _, test := range []struct {
 		name  string
