--- a/internal/load/world/agent.go
+++ b/internal/load/world/agent.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// LossRefuted reports to all entries that an upstream incarnation that was considered lost has answered.
+// LossRefuted reports to all entries that a life of the upstream that was considered lost has answered.
 func (x entryMessages) LossRefuted(r fleet.Refutation) {
 	for _, e := range x.a.linkOrder {
 		x.a.links[e].sendToEntry(func() { e.table.HandleRefutations(e.w.Now(), []fleet.Refutation{r}) })
--- a/internal/load/world/entry.go
+++ b/internal/load/world/entry.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// AnnounceHeld tells an agent, which passes it on to its other entries, which jobs this entry has held for a long time.
+// AnnounceHeld tells an agent which jobs this entry has held for a long time. The agent tells its other entries.
 func (o agentMessages) AnnounceHeld(to ident.Incarnation, jobs []job.ID) {
 	if l := o.e.linkTo(to); l != nil {
 		o.e.w.result.Messages.Takeovers++
@@ -164,7 +164,7 @@
 	}
 }
 
-// SendCrashes does nothing: when a VM loses power, both its agent and its upstream are lost.
+// SendCrashes does nothing: no simulated task crashes its upstream. A VM that loses power loses its agent and its upstream together.
 func (agentMessages) SendCrashes([]fleet.Crash) {}
 
 func (e *entry) linkTo(inc ident.Incarnation) *link {
--- a/internal/load/world/link.go
+++ b/internal/load/world/link.go
@@ -33,17 +33,17 @@
 // unlink breaks a link. Each side that is still alive notices the loss after the link timeout.
 func (w *World) unlink(l *link) {
 	l.open = false
-	e, a, entryLife, agentLife := l.e, l.a, l.e.inc, l.a.inc
+	e, a, entryInc, agentInc := l.e, l.a, l.e.inc, l.a.inc
 	delete(e.links, a)
 	delete(a.links, e)
 	e.linkOrder = slices.DeleteFunc(e.linkOrder, func(o *agent) bool { return o == a })
 	a.linkOrder = slices.DeleteFunc(a.linkOrder, func(o *entry) bool { return o == e })
 	w.After(w.links.LinkTimeout(), func() {
-		if e.alive && e.inc == entryLife {
-			e.table.HandleUnlinked(w.Now(), agentLife)
+		if e.alive && e.inc == entryInc {
+			e.table.HandleUnlinked(w.Now(), agentInc)
 		}
-		if a.alive && a.inc == agentLife {
-			a.controller.EntryUnlinked(w.Now(), entryLife, "silent")
+		if a.alive && a.inc == agentInc {
+			a.controller.EntryUnlinked(w.Now(), entryInc, "silent")
 			a.controller.Flush(w.Now())
 		}
 	})
--- a/internal/load/world/outage_test.go
+++ b/internal/load/world/outage_test.go
@@ -32,15 +32,15 @@
 // playFault simulates the usual load with a fault for three seeds. It returns the share of jobs that were served in time and the
 // number of refused jobs.
 func playFault(t *testing.T, f plan.Fault) (served float64, refused int) {
-	var inTime, asked int
+	var inTime, sent int
 	for seed := range uint64(3) {
 		p := example(t)
 		p.Seed, p.Length, p.Warmup = seed+1, 2*countFrom, countFrom
 		p.Faults = []plan.Fault{f}
 		all := play(t, p).All
-		inTime, asked, refused = inTime+all.InTime, asked+all.Sent, refused+all.Refused
+		inTime, sent, refused = inTime+all.InTime, sent+all.Sent, refused+all.Refused
 	}
-	served = float64(inTime) / float64(asked)
-	t.Logf("served %.3f in time of %d, refused %d", served, asked, refused)
+	served = float64(inTime) / float64(sent)
+	t.Logf("served %.3f in time of %d, refused %d", served, sent, refused)
 	return served, refused
 }
--- a/internal/load/world/races_test.go
+++ b/internal/load/world/races_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestManyEntriesCompeteForRoom guards against entries that send their orders to the same upstreams at the same time, where many of
-// the orders find the room taken. Eleven entries place jobs on 65 upstreams, of whose room the jobs need 0.63.
+// the orders find the room taken. Eleven entries place jobs on 65 upstreams; the jobs need 0.63 of their room.
 //
 // If each entry rates all upstreams, all entries find the same ones cheapest, and 0.52 orders per run are refused for lack of room.
 // If each entry rates a sample of three upstreams that have room, 0.28 are refused. With a cordoned zone, where the jobs need 0.95
--- a/internal/load/world/restart_test.go
+++ b/internal/load/world/restart_test.go
@@ -9,7 +9,7 @@
 	"hillreel/internal/load/plan"
 )
 
-// TestUpstreamsRestart guards against agents that keep the state of an upstream's former incarnation after it has restarted. Four of
+// TestUpstreamsRestart guards against agents that keep the state of an upstream's former life after it has restarted. Four of
 // eleven upstreams crash at the usual load and restart under the same ids a second later, as processes under a supervisor do. Of
 // the 2,713 jobs sent later than two seconds after the crash, 0.756 are served in time and 599 refused if agents keep the former
 // state, and 0.995 and 11 if they start with new state.
--- a/internal/load/world/upstream.go
+++ b/internal/load/world/upstream.go
@@ -64,7 +64,7 @@
 	u.sendHeartbeats(u.life)
 }
 
-// crash stops the upstream. Its runs end, and their work is counted as wasted.
+// crash ends the upstream's life and all its runs. The work of the runs is counted as wasted.
 func (u *simUpstream) crash() {
 	u.up = false
 	for _, r := range u.runs {
@@ -83,12 +83,12 @@
 	})
 }
 
-// bornMillis returns the start of the present incarnation as the upstream reports it.
+// bornMillis returns when the present life began, as the upstream reports it.
 func (u *simUpstream) bornMillis() ident.Born { return ident.Born(u.born.UnixMilli()) }
 
 func (u *simUpstream) clock() call.Clock { return call.Clock(u.w.Now().Sub(u.born)) }
 
-// sendHeartbeats sends a heartbeat, and the following ones for as long as the incarnation life is up.
+// sendHeartbeats sends a heartbeat now, and further ones until the life with the given number ends.
 func (u *simUpstream) sendHeartbeats(life int) {
 	if u.life != life || !u.up {
 		return
--- a/internal/load/world/world.go
+++ b/internal/load/world/world.go
@@ -21,7 +21,7 @@
 	// service is the service that all upstreams provide.
 	service = ident.Service("load")
 	// drainTime is how long the simulation continues after the load ends, so that unfinished jobs can end: the longest deadline
-	// of the users plus the time that a lost upstream takes.
+	// of the users plus the time that the loss of an upstream costs.
 	drainTime = 10 * time.Second
 	// resendPause is how long a caller waits before it resends a job after its entry was lost, as the platform's callers do.
 	resendPause = 1300 * time.Millisecond
--- a/internal/load/world/world_test.go
+++ b/internal/load/world/world_test.go
@@ -82,5 +82,5 @@
 		return play(t, p).All.Refused
 	}
 	never, thrice := refused(0), refused(3)
-	qt.Assert(t, never > 0 && thrice < never/2, qt.IsTrue, qt.Commentf("refused %d, coming back %d", never, thrice))
+	qt.Assert(t, never > 0 && thrice < never/2, qt.IsTrue, qt.Commentf("refused: %d if callers never return, %d if they return up to three times", never, thrice))
 }
