--- a/internal/standin/embedded/embedded.go
+++ b/internal/standin/embedded/embedded.go
@@ -39,7 +39,7 @@
 	Log   *logrus.Entry
 	// FixedPorts makes the first entry listen at the ports from the examples in hillreel.ini: 7600 for callers and 7500 for metrics.
 	FixedPorts bool
-	// OmitBorn makes upstreams leave the start time of their incarnation out of their heartbeats.
+	// OmitBorn makes upstreams leave the start times of their lives out of heartbeats and answers.
 	OmitBorn bool
 	// Adjust changes the settings of a process before it starts. The role is "entry" or "agent". Adjust may be nil.
 	Adjust func(role string, s *settings.Settings)
@@ -244,8 +244,8 @@
 	// pollInterval is the pause between two checks whether the cluster has come up.
 	pollInterval = 10 * time.Millisecond
 	// stablePeriod is how long every check must succeed before the cluster counts as up. A single check does not suffice: for up to
-	// 250 ms (the default of Links.Quiet) an entry still counts a link that its agent has abandoned or that has gone silent, and
-	// a check reads the entries one after another while links may be moving between them.
+	// 250 ms (Links.LinkTimeout with the default settings) an entry still counts a link that its agent has abandoned or that has
+	// gone silent, and a check reads the entries one after another while links may be moving between them.
 	stablePeriod = 300 * time.Millisecond
 )
 
--- a/internal/standin/embedded/restart_test.go
+++ b/internal/standin/embedded/restart_test.go
@@ -17,9 +17,9 @@
 
 // The tests of this file guard against an agent that does not notice a restart of its upstream under the same id.
 //
-// The fault: an agent distinguished incarnations of its upstream by the id alone and continued with the state of the previous
-// incarnation. The new incarnation numbers its heartbeats and its run ends from 1 again, so its heartbeats were dropped as outdated,
-// and its ends were acknowledged before it had listed them.
+// The fault: an agent distinguished lives of its upstream by the id alone and continued with the state of the previous life. The new
+// life numbers its heartbeats and its run ends from 1 again, so its heartbeats were dropped as outdated, and its ends were acknowledged
+// before it had listed them.
 //
 // The effects in the incident that showed the fault: after a restart, the agent lost exactly as many runs as it had received ends
 // before (317 and 317, 4 and 4). Tasks that had completed there were taken as lost and repeated elsewhere, some of them seven times.
@@ -47,11 +47,11 @@
 func startsAtFirst(cluster *embedded.Cluster) int { return cluster.Ledger.StartsAt(0) }
 
 // TestUpstreamThatStartsAgainLeaves guards against tasks that start at an upstream after it has announced that it leaves, because its
-// agent took the announcement for an outdated heartbeat of the incarnation before the restart.
+// agent took the announcement for an outdated heartbeat of the life before the restart.
 func TestUpstreamThatStartsAgainLeaves(t *testing.T) {
 	cluster := start(t, 1, 2)
 	c := newClient(t, cluster)
-	time.Sleep(3 * time.Second) // the first incarnation sends more heartbeats than the second one will
+	time.Sleep(3 * time.Second) // the first life sends more heartbeats than the second one will
 	completeJobs(t, c, 4)
 	cluster.Upstreams[0].Restart(0)
 	time.Sleep(500 * time.Millisecond)
--- a/internal/standin/embedded/silence_test.go
+++ b/internal/standin/embedded/silence_test.go
@@ -53,7 +53,7 @@
 // although new connections work.
 //
 // The subtests do not run in parallel. Five clusters of six nodes and their proxies in one process, with the race detector and beside
-// other load, leave a hold call unanswered for more than 400 ms, and then a lease of 800 ms expires without any fault.
+// other load, leave a hold call unanswered for more than 400 ms, and then a lease of 800 ms lapses without any fault.
 func TestSilence(t *testing.T) {
 	all := []embedded.ConnKind{embedded.ConnLink, embedded.ConnUpstream, embedded.ConnHeartbeats, embedded.ConnStore}
 	for _, test := range []struct {
--- a/internal/standin/silence/silence.go
+++ b/internal/standin/silence/silence.go
@@ -106,8 +106,8 @@
 	return false
 }
 
-// Silence permanently silences all open connections and returns their number. If that fails for one of them, it stops there
-// and returns the number of those before it with the error.
+// Silence permanently silences all open connections and returns their number. If it cannot silence a connection, it returns
+// the error and the number of connections that it has silenced before.
 func (p *Proxy) Silence() (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
