--- a/internal/proof/schedule/cpu_starvation_test.go
+++ b/internal/proof/schedule/cpu_starvation_test.go
@@ -11,7 +11,7 @@
 const cpuStarvationFrom = 8_000_000_000
 
 const (
-	// The parts of a slice for which a process pauses and runs. The longest pause is too short to be detected as one.
+	// The parts of a slice for which a process pauses and runs. Even maxPause is too short to be detected as a pause.
 	minPause, maxPause = 50 * time.Millisecond, 195 * time.Millisecond
 	minRun, maxRun     = 3 * time.Millisecond, 30 * time.Millisecond
 	// A late call or message is delayed by up to maxDelay, one in ten of them by up to maxLongDelay.
--- a/internal/proof/schedule/crashes_test.go
+++ b/internal/proof/schedule/crashes_test.go
@@ -197,12 +197,12 @@
 }
 
 // unproven are the schedules, in order, in which nothing proves that a task crashes upstreams, so that a task is started
-// once too often or a job is wrongly reported as failed. Two are among the first 4,000 schedules of both kinds. In
-// 4000003125 the age of the run at a loss is known 250 ms too low, and other causes crash two more upstreams under the
-// task. In 4000301760 and 4000304616 all processes that know of the first crash, or of the first two, end afterwards. In
-// 4000215516 other causes crash three upstreams under the task, two of them while it runs alone. In 5000307620 two
-// upstreams crash by themselves while a task runs alone, after a crash that a task did cause. The other schedules are not
-// traced.
+// once too often or a job is wrongly reported as failed. Two of them, 4000003125 and 5000002286, are among the first 4,000
+// schedules of the two kinds. In 4000003125 the age of the run at a loss is known 250 ms too low, and other causes crash
+// two more upstreams under the task. In 4000301760 and 4000304616 all processes that know of the first crash, or of the
+// first two, end afterwards. In 4000215516 other causes crash three upstreams under the task, two of them while it runs
+// alone. In 5000307620 two upstreams crash by themselves while a task runs alone, after a crash that a task did cause. The
+// other schedules are not traced.
 var unproven = []uint64{
 	4000003125, 4000215516, 4000301760, 4000301921, 4000304542, 4000304616,
 	5000002286, 5000006004, 5000301042, 5000304454, 5000304498, 5000307620, 5000308878,
--- a/internal/proof/schedule/kept_test.go
+++ b/internal/proof/schedule/kept_test.go
@@ -132,7 +132,7 @@
 	return a.s.list(r.Table), nil
 }
 
-// checkStart checks the start of a kept job's task.
+// checkStart records the start of a task, and checks it if the job is kept.
 func (s *submission) checkStart(task job.TaskID) {
 	w, t := s.w, &s.tasks[task.Index]
 	t.started = w.Now()
@@ -155,8 +155,7 @@
 	at time.Time
 }
 
-// recordForgotten checks and records an end that the upstream may forget. An end counts for nothing if the lease has
-// lapsed since.
+// recordForgotten checks and records an end that the upstream may forget. An end is void if the lease has lapsed since.
 func (u *simUpstream) recordForgotten(e simEnd) {
 	s := u.w.jobs[e.Task.Job]
 	if !s.kept || u.lapsedSince(e.at) {
@@ -174,7 +173,7 @@
 	}
 }
 
-// lapsedSince reports whether the lease has lapsed since a moment or has run out.
+// lapsedSince reports whether the lease has lapsed since a moment, or is lapsed now.
 func (u *simUpstream) lapsedSince(at time.Time) bool {
 	return !u.lastLapse.Before(at) || u.clock() > u.leaseUntil
 }
--- a/internal/proof/schedule/unrequested_test.go
+++ b/internal/proof/schedule/unrequested_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// planRemoval removes a VM for good in every fifth schedule: an entry's or an agent's, while others of its kind stay. It
+// planRemoval removes a VM permanently in every fifth schedule: an entry's or an agent's, while others of its kind stay. It
 // has a random source of its own, so that all other draws of a seed stay as they were when its schedule was traced.
 func (w *world) planRemoval(seed uint64) {
 	if seed%5 != 4 {
@@ -97,7 +97,7 @@
 }
 
 // TestLateStartOfCancelledJob guards against a run that nobody stops: an upstream starts a task late, after its job was
-// cancelled and after the agent forgot the order. The agent must stop the run. If the agent was removed for good, the
+// cancelled and after the agent forgot the order. The agent must stop the run. If the agent was removed permanently, the
 // lapse of the upstream's lease must end the run.
 func TestLateStartOfCancelledJob(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/proof/schedule/upstream_test.go
+++ b/internal/proof/schedule/upstream_test.go
@@ -11,7 +11,7 @@
 	"hillreel/internal/core/job"
 )
 
-// capacity is an upstream's room: three tasks of need.
+// need is what each task needs; capacity is the room of an upstream, which is enough for three tasks.
 var (
 	need     = job.Resources{CPU: 1000, Mem: 10}
 	capacity = job.Resources{CPU: 3000, Mem: 100}
@@ -26,7 +26,7 @@
 	startedAt time.Time
 	work      time.Duration
 	result    call.Result
-	// hangs indicates whether the run never makes progress or ends by itself.
+	// hangs is true if the run makes no progress and does not end by itself.
 	hangs    bool
 	stopping bool
 }
@@ -53,7 +53,7 @@
 	// rate is the speed of its clock, up to 2% slow.
 	rate       float64
 	leaseUntil call.Clock
-	// lastLapse is when a lease last ended before another began.
+	// lastLapse is when the lease last lapsed before it was extended again, or when the life began.
 	lastLapse      time.Time
 	token          call.Token
 	runs           map[job.TaskID]*simRun
@@ -66,7 +66,7 @@
 	// lossRate is the probability that an order gets no answer; lateRate is the probability that such an order is carried
 	// out seconds late.
 	lossRate, lateRate float64
-	// dropsLost indicates whether the unanswered orders that are not late are never carried out.
+	// dropsLost is true if an order without an answer is not carried out at all, unless it is carried out late.
 	dropsLost bool
 	// maxLag is the longest time that calls and answers are in transit; zero means the usual time.
 	maxLag time.Duration
@@ -77,7 +77,7 @@
 	// room is the room that the upstream reports, formerRooms are those it had.
 	room        job.Resources
 	formerRooms []formerRoom
-	// cut indicates whether the upstream is cut off while it runs on.
+	// cut is true while no call or answer reaches the upstream or leaves it. The upstream runs on.
 	cut bool
 }
 
@@ -141,8 +141,8 @@
 	}
 }
 
-// A heartbeat that a partition holds back is delayed by a time between these. It often arrives after another life of the
-// upstream, or another incarnation of the agent, has begun.
+// minHeartbeatDelay and maxHeartbeatDelay bound the delay of a heartbeat that a partition holds back. The heartbeat often
+// arrives after another life of the upstream, or another incarnation of the agent, has begun.
 const minHeartbeatDelay, maxHeartbeatDelay = 500 * time.Millisecond, 6 * time.Second
 
 // drainStartBound is how long a start may still arrive at an upstream after its agent has learned that the upstream
--- a/internal/proof/schedule/vm_faults_test.go
+++ b/internal/proof/schedule/vm_faults_test.go
@@ -9,7 +9,7 @@
 )
 
 // vmFaultsFrom is the first seed of the worlds in which VMs are suspended, and the rooms of upstreams shrink and grow
-// again. In every second one of them tasks crash upstreams as well.
+// again. In the worlds with even seeds, tasks crash upstreams as well.
 const vmFaultsFrom = 5_000_000_000
 
 // vmFaults suspends VMs and resizes rooms. It has a random source of its own, as operators has.
--- a/internal/proof/soak/soak_test.go
+++ b/internal/proof/soak/soak_test.go
@@ -193,7 +193,7 @@
 }
 
 // delayHeartbeats holds back the heartbeats to an agent for a while, during which its upstream crashes. Afterwards the heartbeats of
-// both incarnations arrive together, in any order.
+// both lives arrive together, in any order.
 func (cl *cluster) delayHeartbeats(a *process, span time.Duration) string {
 	a.heartbeats.setFault(0, true, false)
 	time.AfterFunc(span/2, a.upstream.Crash)
