--- a/internal/entry/dispatch/agents_test.go
+++ b/internal/entry/dispatch/agents_test.go
@@ -84,7 +84,7 @@
 	b.end(o, 0, job.Done, "")
 	b.table.HandleUnlinked(b.now, 1)
 	b.table.Abandon(b.now, 7, 1)
-	qt.Assert(t, b.stops, qt.HasLen, 0) // no agent is linked that could receive it
+	qt.Assert(t, b.stops, qt.HasLen, 0) // no agent is linked that could receive a stop
 	b.link(1)
 	again := b.orders[1].run(0)
 	qt.Assert(t, again.RunRef, qt.Equals, fleet.RunRef{Task: o.Task(1), Run: 2})
--- a/internal/entry/dispatch/contact_test.go
+++ b/internal/entry/dispatch/contact_test.go
@@ -62,7 +62,7 @@
 		placed int
 	}{
 		{"all agents are silent", func(b *harness) { b.cutOff(2*time.Second, all...); b.relink(all...) }, 1},
-		{"all agents are silent for less than they keep runs", func(b *harness) {
+		{"all agents are silent for less time than they keep runs", func(b *harness) {
 			b.cutOff(300*time.Millisecond, all...)
 			b.relink(all...)
 		}, 2},
--- a/internal/entry/dispatch/crash_test.go
+++ b/internal/entry/dispatch/crash_test.go
@@ -157,8 +157,9 @@
 // VM when the upstream was lost waits for an upstream on another VM, but only for a limited time.
 func TestSuspectWaitsForAnotherVM(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		vms   int
+		name string
+		vms  int
+		// wait is the time until the task's VM has another upstream. ready tells whether the other VM is ready again by then.
 		wait  time.Duration
 		ready bool
 		// placed tells whether the task is started again, elsewhere whether that is on the other VM.
--- a/internal/entry/dispatch/dispatch_test.go
+++ b/internal/entry/dispatch/dispatch_test.go
@@ -146,8 +146,8 @@
 }
 
 // TestLateEndOfFormerRun guards against a new run that is ended by a message about an old one. A job is given up and
-// resubmitted at once. While the new run, which has the same number, is in progress, the agent's reply to the old run's
-// stop arrives, which crossed the old run's end. The new run continues.
+// resubmitted at once. The stop of the old run crosses the message that reports the run's end, so the agent's reply to the
+// stop arrives while the new run, which has the same number, is in progress. The new run continues.
 func TestLateEndOfFormerRun(t *testing.T) {
 	for _, late := range []fleet.End{
 		{Outcome: job.NotStarted, Reason: fleet.NotListed},
@@ -255,7 +255,7 @@
 	b.table.Abandon(b.now, 7, 2)
 	qt.Assert(t, b.stops, qt.HasLen, 1)
 	b.submit(7, 4, 1, time.Second, time.Minute)
-	qt.Assert(t, b.orders, qt.HasLen, 1) // the old run is still there
+	qt.Assert(t, b.orders, qt.HasLen, 1) // the old run has not ended yet
 	b.end(b.orders[0], 0, job.Stopped, fleet.OnRequest)
 	qt.Assert(t, b.orders, qt.HasLen, 2)
 	b.end(b.orders[1], 0, job.Stopped, fleet.Superseded)
@@ -323,14 +323,14 @@
 func TestSlowUpstream(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// passed is how long the run has been there, left how long it will still take.
+		// passed is how long the run has been at the slow upstream. left is the remaining run time that the agent reports.
 		passed, left time.Duration
 		room         int64
 		moves        bool
 	}{
 		{"in time where it is", 200 * time.Millisecond, time.Second, 2000, false},
 		{"late where it is, in time elsewhere", 200 * time.Millisecond, 5 * time.Second, 2000, true},
-		{"late both ways", 1500 * time.Millisecond, 2 * time.Second, 2000, false},
+		{"late in both places", 1500 * time.Millisecond, 2 * time.Second, 2000, false},
 		{"useless where it is, late elsewhere", 1500 * time.Millisecond, 5 * time.Second, 2000, true},
 		{"no capacity elsewhere", 200 * time.Millisecond, 5 * time.Second, 0, false},
 	} {
--- a/internal/entry/dispatch/observe_test.go
+++ b/internal/entry/dispatch/observe_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestMoveIsReported: a run that ends so that its task can run elsewhere is reported as a stopped run.
+// TestMoveIsReported: a run that is stopped so that its task can run elsewhere is reported like other stops.
 func TestMoveIsReported(t *testing.T) {
 	b := newHarness(t, 2)
 	b.submit(7, 1, 1, time.Second, time.Minute)
--- a/internal/entry/dispatch/takeover_test.go
+++ b/internal/entry/dispatch/takeover_test.go
@@ -58,8 +58,8 @@
 			b.table.HandleReleased(b.now, 1, byHolder)
 			b.table.HandleReleased(b.now, 1, fleet.Released{Takeover: fleet.Takeover{Job: 7, Holder: thirdEntry}, ByHolder: true})
 		}, true, dispatch.TakeoverConfirmed},
-		{"its holder is not linked to one agent", func(b *harness) { b.table.HandleReleased(b.now, 1, byAgent) }, false, dispatch.TakeoverAsked},
-		{"its holder is not linked to any agent", func(b *harness) {
+		{"one agent reports that its holder is not linked", func(b *harness) { b.table.HandleReleased(b.now, 1, byAgent) }, false, dispatch.TakeoverAsked},
+		{"all agents report that its holder is not linked", func(b *harness) {
 			b.table.HandleReleased(b.now, 1, byAgent)
 			b.table.HandleReleased(b.now, 2, byAgent)
 		}, true, dispatch.TakeoverSettled},
