--- a/internal/entry/node/close_test.go
+++ b/internal/entry/node/close_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestCloseAll guards against callers that get no answer when an entry stops: an entry that is about to stop answers all callers at once,
-// whatever they wait for, and also callers that arrive then.
+// whatever they wait for. It also answers callers that arrive afterwards.
 func TestCloseAll(t *testing.T) {
 	submit := func(keep bool) func(n *node.Node) (verdict.State, error) {
 		return func(n *node.Node) (verdict.State, error) {
@@ -53,13 +53,13 @@
 	for _, test := range []struct {
 		name string
 		ask  func(n *node.Node) (verdict.State, error)
-		// state is the expected answer. It is empty where an error must say that the state is unknown.
+		// state is the expected answer. It is empty where an error is expected because the state is unknown.
 		state verdict.State
 	}{
 		{"a job", submit(false), verdict.Refused},
 		{"a job to be kept", submit(true), verdict.Unresolved},
 		{"the state of a job of another entry", func(n *node.Node) (verdict.State, error) { return n.State(context.Background(), 2) }, ""},
-		{"the cancelling of a job of another entry", func(n *node.Node) (verdict.State, error) { return n.Cancel(context.Background(), 2) }, ""},
+		{"the cancellation of a job of another entry", func(n *node.Node) (verdict.State, error) { return n.Cancel(context.Background(), 2) }, ""},
 	} {
 		for _, before := range []bool{true, false} {
 			t.Run(test.name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 }
 
 // TestCallerGoneBeforeItsTurn guards against two entries that run a task at once. A caller that has gone may have sent its job to another
-// entry, so this entry must not take a job whose caller went while the request waited for the control goroutine.
+// entry, so this entry must not take a job whose caller left while the request waited for the control goroutine.
 func TestCallerGoneBeforeItsTurn(t *testing.T) {
 	set, err := settings.Load("")
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/entry/node/observe_test.go
+++ b/internal/entry/node/observe_test.go
@@ -41,7 +41,7 @@
 	o.Placed(7, "here", order, 0)
 }
 
-// TestTakenLine checks that a job's first log line has the time that its caller still waits, if it is known.
+// TestTakenLine checks that a job's first log line states how long its caller still waits, if that is known.
 func TestTakenLine(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -49,7 +49,7 @@
 		want     string
 	}{
 		{"patient", boottime.Now().Add(time.Hour + time.Minute), "patience_ms=36"},
-		{"not told", time.Time{}, ""},
+		{"no deadline", time.Time{}, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			lines := logLines(func(o *node.Observer) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestTaskPlacedAgainLine checks that placing a task again is logged, with the end of its former run, if that run may have started. After a
-// mere refusal by an agent nothing is logged.
+// TestTaskPlacedAgainLine checks that placing a task again is logged, with the end of its former run, if that run may have started. If an
+// agent only refused the task, nothing is logged.
 func TestTaskPlacedAgainLine(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -104,7 +104,7 @@
 }
 
 // TestTaskPlacedAgainAfterRefusal checks which former run the line names when an agent refuses a task that is placed again: the last run
-// that may have started, not the refused one. A later run that ends in another way than by a refusal takes its place.
+// that may have started, not the refused one. A later run that was not refused replaces it in the line.
 func TestTaskPlacedAgainAfterRefusal(t *testing.T) {
 	lines := logLines(func(o *node.Observer) {
 		takeJob(o)
@@ -137,10 +137,10 @@
 		stops dispatch.Stops
 		has   []string
 	}{
-		{"asked", dispatch.Stops{Job: 7, RequestID: "r-1", Cause: "caller_gone", Requested: runs(2)}, []string{
+		{"requested", dispatch.Stops{Job: 7, RequestID: "r-1", Cause: "caller_gone", Requested: runs(2)}, []string{
 			"msg=run_stop_asked", "request=r-1", "why=caller_gone", "runs=2", `asked="0.0 run 1 at here; 0.1 run 1 at here"`,
 		}},
-		{"unheard", dispatch.Stops{Job: 7, Cause: "deadline", Unreachable: runs(1)}, []string{`unheard="0.0 run 1 at here"`}},
+		{"unreachable", dispatch.Stops{Job: 7, Cause: "deadline", Unreachable: runs(1)}, []string{`unheard="0.0 run 1 at here"`}},
 		{"many", dispatch.Stops{Job: 7, Cause: "deadline", Requested: runs(1000)}, []string{"runs=1000", "0.23 run 1 at here; 976 more"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -153,10 +153,10 @@
 	}
 }
 
-// TestWayOfJobsSentBefore checks that the answer's line has a job's history, and so the agents of its runs, if another entry may have
+// TestWayOfJobsSentBefore checks that the answer's line contains a job's history, and so the agents of its runs, if another entry may have
 // started the job before, even if the job ends in time.
 func TestWayOfJobsSentBefore(t *testing.T) {
-	const way = "place 2 at here: 0.0 run 1, 0.1 run 1"
+	const history = "place 2 at here: 0.0 run 1, 0.1 run 1"
 	for _, test := range []struct {
 		name    string
 		again   bool
@@ -178,7 +178,7 @@
 				o.Answered(7, &route.Route{}, dispatch.Answer{State: verdict.Complete}, test.summary)
 			})
 			last := lines[len(lines)-1]
-			qt.Assert(t, strings.Contains(last, way), qt.Equals, test.want)
+			qt.Assert(t, strings.Contains(last, history), qt.Equals, test.want)
 			qt.Assert(t, strings.Contains(last, "agents=here"), qt.Equals, !test.want)
 			if test.again {
 				qt.Assert(t, lines[1], qt.Contains, "former_request=r-1")
