--- a/client/client.go
+++ b/client/client.go
@@ -71,8 +71,8 @@
 var ErrLost = errors.New("client: no entry has answered; the job may have run")
 
 // Submit sends a job under an id and returns the answer, in whatever state the job is. If the answer is lost, or its
-// state is Unresolved, Submit sends the job again. After the last attempt, or when ctx ends,
-// it returns an error that wraps ErrLost.
+// state is Unresolved, Submit sends the job again. After the last attempt, or when ctx ends, it returns an error that wraps
+// ErrLost.
 func (c *Client) Submit(ctx context.Context, id string, j api.Job) (*api.Answer, error) {
 	body, err := json.Marshal(j)
 	if err != nil {
