--- a/api/api.go
+++ b/api/api.go
@@ -21,7 +21,7 @@
 type Step struct {
 	// Count is the number of tasks in the step.
 	Count uint32 `json:"count"`
-	// CPUMillis is in thousandths of a core. A task that needs no CPU, memory or GPU uses no room.
+	// CPUMillis is in thousandths of a core. A task that needs no CPU, memory or GPU uses no capacity.
 	CPUMillis int64 `json:"cpu_millis,omitempty"`
 	MemMB     int64 `json:"mem_mb,omitempty"`
 	GPU       int64 `json:"gpu,omitempty"`
