--- a/commands/process_test.go
+++ b/commands/process_test.go
@@ -125,7 +125,8 @@
 	return string(raw)
 }
 
-// signal sends a signal to a process if that was started. After SIGKILL it waits for the end of the process and forgets it.
+// signal sends a signal to the named process, if that was started. After SIGKILL it waits until the process has ended, and
+// removes it from processes.
 func (s *set) signal(name string, sig syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
