--- a/internal/load/plan/plan.go
+++ b/internal/load/plan/plan.go
@@ -66,7 +66,7 @@
 	EstimateError float64
 	// Cores is the mean number of cores that a task needs; it varies between jobs with a standard deviation of a fifth.
 	Cores float64
-	// A job's objective is Target plus Stretch times the run time of its longest task. Callers give up after Deadline.
+	// Stretch and Target define a job's objective: Target plus Stretch times the run time of its longest task. Callers give up after Deadline.
 	Stretch          float64
 	Target, Deadline time.Duration
 	// TextBytes is the length of the job's text, which is sent to each agent that gets one of the job's tasks.
@@ -82,21 +82,21 @@
 const (
 	// Burst multiplies the rate of jobs by Factor, for one kind or all kinds and for one zone or all zones.
 	Burst Kind = "burst"
-	// UpstreamsLost lets VMs of upstreams lose power.
+	// UpstreamsLost cuts the power of VMs of upstreams.
 	UpstreamsLost Kind = "upstreams_lost"
-	// UpstreamsRestart lets upstreams crash and restart under the same ids while their agents keep running.
+	// UpstreamsRestart makes upstreams crash and restart under the same ids while their agents keep running.
 	UpstreamsRestart Kind = "upstreams_restart"
 	// UpstreamsSlow multiplies by Factor the run time of tasks that start at the affected upstreams.
 	UpstreamsSlow Kind = "upstreams_slow"
-	// UpstreamsHang lets tasks that start at the affected upstreams run forever.
+	// UpstreamsHang makes tasks that start at the affected upstreams run forever.
 	UpstreamsHang Kind = "upstreams_hang"
-	// UpstreamsFail lets tasks that start at the affected upstreams fail immediately.
+	// UpstreamsFail makes tasks that start at the affected upstreams fail immediately.
 	UpstreamsFail Kind = "upstreams_fail"
-	// EntriesLost lets VMs of entries lose power; their callers send the unanswered jobs again.
+	// EntriesLost cuts the power of VMs of entries; their callers send the unanswered jobs again.
 	EntriesLost Kind = "entries_lost"
 	// ZoneCordoned cordons an availability zone; processes learn of the cordon at different times.
 	ZoneCordoned Kind = "zone_cordoned"
-	// CallersLeave lets the share Factor of the callers give up at half of their objective.
+	// CallersLeave makes the share Factor of the callers give up at half of their objective.
 	CallersLeave Kind = "callers_leave"
 )
 
