--- a/internal/load/plan/plan.go
+++ b/internal/load/plan/plan.go
@@ -64,7 +64,8 @@
 	Spread, Uneven float64
 	// EstimateError is the largest relative error of the declared run time.
 	EstimateError float64
-	// Cores is the mean number of cores that a task needs; it varies between jobs with a standard deviation of a fifth.
+	// Cores is the mean number of cores that a task needs. The number varies between jobs; the standard deviation of its
+	// logarithm is a fifth.
 	Cores float64
 	// Stretch and Target define a job's objective: Target plus Stretch times the run time of its longest task. Callers give up after Deadline.
 	Stretch          float64
