--- a/commands/process_test.go
+++ b/commands/process_test.go
@@ -185,13 +185,13 @@
 		fault func()
 	}{
 		{"reload", func() { s.signal("entry-1", syscall.SIGHUP); s.signal("agent-1", syscall.SIGHUP) }},
-		{"agent leaves", func() { s.signal("agent-1", syscall.SIGTERM) }},
-		{"entry is killed and comes back", func() { s.signal("entry-1", syscall.SIGKILL); s.entry("entry-1") }},
-		{"agent stands still", func() {
+		{"agent is asked to stop", func() { s.signal("agent-1", syscall.SIGTERM) }},
+		{"entry is killed and restarted", func() { s.signal("entry-1", syscall.SIGKILL); s.entry("entry-1") }},
+		{"agent is suspended", func() {
 			s.signal("agent-2", syscall.SIGSTOP)
 			time.AfterFunc(1500*time.Millisecond, func() { s.signal("agent-2", syscall.SIGCONT) })
 		}},
-		{"entry stands still", func() {
+		{"entry is suspended", func() {
 			s.signal("entry-2", syscall.SIGSTOP)
 			time.AfterFunc(1500*time.Millisecond, func() { s.signal("entry-2", syscall.SIGCONT) })
 		}},
--- a/commands/signals_test.go
+++ b/commands/signals_test.go
@@ -76,10 +76,10 @@
 		signals  []syscall.Signal
 		reloaded bool
 	}{
-		{"asked to end", []syscall.Signal{syscall.SIGTERM}, false},
-		{"told to reload, then asked to end", []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}, false},
+		{"asked to stop", []syscall.Signal{syscall.SIGTERM}, false},
+		{"told to reload, then asked to stop", []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}, false},
 		{"told to reload", []syscall.Signal{syscall.SIGHUP}, true},
-		{"told to reload in series, then asked to end", append(repeatSignal(syscall.SIGHUP, 20), syscall.SIGTERM), false},
+		{"told to reload many times, then asked to stop", append(repeatSignal(syscall.SIGHUP, 20), syscall.SIGTERM), false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "node.ini")
