--- a/internal/entry/placement/placement_test.go
+++ b/internal/entry/placement/placement_test.go
@@ -43,13 +43,13 @@
 func TestCheapestOfSample(t *testing.T) {
 	for _, n := range []int{100, 200} {
 		rng := rand.New(rand.NewPCG(1, 1))
-		taken, rated := make(map[int]int), 0
+		selected, rated := make(map[int]int), 0
 		const rounds = 2000
 		for range rounds {
-			taken[placement.CheapestOfSample(rng, upTo(n), func(int) bool { return true }, func(int) float64 { rated++; return rng.Float64() })]++
+			selected[placement.CheapestOfSample(rng, upTo(n), func(int) bool { return true }, func(int) float64 { rated++; return rng.Float64() })]++
 		}
 		qt.Assert(t, rated, qt.Equals, 3*rounds)
-		for a, times := range taken {
+		for a, times := range selected {
 			qt.Assert(t, times < 5*rounds/n, qt.IsTrue, qt.Commentf("%d: %d times", a, times))
 		}
 		qt.Assert(t, placement.CheapestOfSample(rng, upTo(n), func(a int) bool { return a == 7 }, func(int) float64 { return 1 }), qt.Equals, 7)
