--- a/internal/entry/process/coverage_test.go
+++ b/internal/entry/process/coverage_test.go
@@ -25,9 +25,9 @@
 		return out
 	}
 	for _, test := range []struct {
-		name  string
-		looks [][]dispatch.Upstream
-		want  []ident.Service
+		name   string
+		checks [][]dispatch.Upstream
+		want   []ident.Service
 	}{
 		{"starting", [][]dispatch.Upstream{nil, linked(5, 1), linked(20, 2), linked(100, 30)}, nil},
 		{"a small service", [][]dispatch.Upstream{nil, linked(100, 3), linked(100, 3), linked(100, 3)}, []ident.Service{"small"}},
@@ -36,7 +36,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := newCoverage(nil, nil, nil, 12)
 			var got []ident.Service
-			for _, upstreams := range test.looks {
+			for _, upstreams := range test.checks {
 				got = c.servicesShort(routes, upstreams)
 			}
 			qt.Assert(t, got, qt.DeepEquals, test.want)
