--- a/internal/core/web/read_test.go
+++ b/internal/core/web/read_test.go
@@ -58,8 +58,8 @@
 	answered, unread := 0, 0
 	for round := range shutdowns {
 		s := New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			io.Copy(io.Discard, r.Body) //nolint:errcheck // the client would fail
-			io.WriteString(w, "ok")     //nolint:errcheck // the client would fail
+			io.Copy(io.Discard, r.Body) //nolint:errcheck // the client notices a failure
+			io.WriteString(w, "ok")     //nolint:errcheck // the client notices a failure
 		}), Internal)
 		plain, err := net.Listen("tcp", string(s.address))
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/core/web/shutdown_test.go
+++ b/internal/core/web/shutdown_test.go
@@ -20,7 +20,7 @@
 func serve(t *testing.T, takes time.Duration) *web.Server {
 	s := web.New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(takes)
-		io.WriteString(w, "ok") //nolint:errcheck // the client would fail
+		io.WriteString(w, "ok") //nolint:errcheck // the client notices a failure
 	}), web.Internal)
 	qt.Assert(t, s.Start(context.Background()), qt.IsNil)
 	t.Cleanup(s.Stop)
@@ -39,7 +39,7 @@
 	for _, test := range []struct {
 		name  string
 		takes time.Duration
-		// before: a request is sent before Shutdown. after: a request is sent that long after Shutdown began; zero is none.
+		// before: a request is sent before Shutdown. after: a request is sent that long after Shutdown began; with zero, none is sent.
 		before bool
 		after  time.Duration
 		// least and most bound how long Shutdown takes; inProgress is the number of unanswered requests in its error.
--- a/internal/core/web/web_test.go
+++ b/internal/core/web/web_test.go
@@ -19,7 +19,7 @@
 // TestSilentConnections guards against silent connections that keep new callers out: as many as the server accepts fall silent, and the
 // next caller must be served within three seconds.
 func TestSilentConnections(t *testing.T) {
-	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }) //nolint:errcheck // the client would fail
+	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }) //nolint:errcheck // the client notices a failure
 	s := web.New("the test", settings.Address(loopback.Draw(loopback.Embedded, 7400)), ok, web.Internal)
 	qt.Assert(t, s.Start(context.Background()), qt.IsNil)
 	defer s.Stop()
