--- a/internal/link/codec/codec.go
+++ b/internal/link/codec/codec.go
@@ -245,7 +245,7 @@
 	return readRunRefs(m.GetRuns()), m.GetVoid()
 }
 
-// Ask encodes the query of this number for those ends of the jobs' runs that are not known to be stored.
+// Ask encodes a query, identified by number, for those ends of the jobs' runs that are not known to be stored.
 func Ask(number uint64, jobs []job.ID) *wire.Msg {
 	m := &wire.Ask{Number: number}
 	for _, j := range jobs {
@@ -262,7 +262,7 @@
 	return m.GetNumber(), jobs
 }
 
-// Asked encodes that all ends that the query of this number asked for have been sent.
+// Asked encodes that all ends that the query identified by number asked for have been sent.
 func Asked(number uint64) *wire.Msg {
 	return &wire.Msg{Kind: &wire.Msg_Asked{Asked: &wire.Asked{Number: number}}}
 }
--- a/internal/link/codec/crash.go
+++ b/internal/link/codec/crash.go
@@ -7,7 +7,7 @@
 	"hillreel/internal/link/wire"
 )
 
-// life encodes one life of an upstream: its ID and the start time of its process.
+// life encodes one life of an upstream: its ID and birth time.
 func life(l ident.UpstreamLife) *wire.Life {
 	return &wire.Life{Id: string(l.ID), BornMs: int64(l.Born)}
 }
