--- a/internal/agent/snapshot/snapshot.go
+++ b/internal/agent/snapshot/snapshot.go
@@ -1,6 +1,6 @@
 // Package snapshot stores the last known state of an agent's upstream in the platform's store, because the agent's VM keeps nothing. When
-// the agent restarts, it loads the state before the first heartbeat. It then knows at once which upstream to ask for its runs, and that
-// the upstream is leaving if it has said so before.
+// the agent restarts, it loads the state before the first heartbeat. The agent then knows at once which upstream's runs to ask for, and
+// whether that upstream has already announced that it ends soon.
 package snapshot
 
 import (
@@ -99,8 +99,8 @@
 }
 
 // Save stores the state of the upstream. A write that got no answer may be carried out seconds later; it must not overwrite a newer state,
-// for example with a room that has shrunk since. Each write therefore requires that the row still has the version that was read or written
-// last.
+// for example restore the larger capacity of an upstream that has shrunk since. Each write therefore requires that the row still has the
+// version that was read or written last.
 func (s *Store) Save(ctx context.Context, u lives.Snapshot) error {
 	raw, err := json.Marshal(value{u.ID, u.Born, u.Service, u.Labels, u.Total.CPU, u.Total.Mem, u.Total.GPU, u.Draining, encodeCrashes(u.Crashes)})
 	if err != nil {
--- a/internal/agent/snapshot/snapshot_test.go
+++ b/internal/agent/snapshot/snapshot_test.go
@@ -49,11 +49,11 @@
 func TestLateWrite(t *testing.T) {
 	ctx := context.Background()
 	s := &store{Store: standin.New()}
-	m := snapshot.New(s, "vm")
-	qt.Assert(t, m.Save(ctx, withCPU(3)), qt.IsNil)
+	current := snapshot.New(s, "vm")
+	qt.Assert(t, current.Save(ctx, withCPU(3)), qt.IsNil)
 	s.loses = true
-	qt.Assert(t, m.Save(ctx, withCPU(2)), qt.Equals, errNoAnswer)
-	qt.Assert(t, m.Save(ctx, withCPU(1)), qt.IsNil)
+	qt.Assert(t, current.Save(ctx, withCPU(2)), qt.Equals, errNoAnswer)
+	qt.Assert(t, current.Save(ctx, withCPU(1)), qt.IsNil)
 	for _, late := range s.held {
 		qt.Assert(t, s.Store.Commit(late), qt.IsFalse)
 	}
@@ -67,14 +67,14 @@
 func TestLateWriteOfEarlierIncarnation(t *testing.T) {
 	ctx := context.Background()
 	s := &store{Store: standin.New()}
-	m, former := snapshot.New(s, "vm"), snapshot.New(s, "vm")
-	_, found, err := m.Load(ctx)
+	current, former := snapshot.New(s, "vm"), snapshot.New(s, "vm")
+	_, found, err := current.Load(ctx)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, found, qt.IsFalse)
 	qt.Assert(t, former.Save(ctx, withCPU(3)), qt.IsNil)
-	qt.Assert(t, m.Save(ctx, withCPU(1)), qt.Equals, rows.ErrConflict)
-	qt.Assert(t, m.Save(ctx, withCPU(1)), qt.IsNil)
-	u, _, err := m.Load(ctx)
+	qt.Assert(t, current.Save(ctx, withCPU(1)), qt.Equals, rows.ErrConflict)
+	qt.Assert(t, current.Save(ctx, withCPU(1)), qt.IsNil)
+	u, _, err := current.Load(ctx)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, u, qt.DeepEquals, withCPU(1))
 }
