--- a/internal/standin/embedded/embedded_test.go
+++ b/internal/standin/embedded/embedded_test.go
@@ -90,9 +90,9 @@
 		{"upstream crashes", func(s *embedded.Cluster) { s.Upstreams[0].Crash() }},
 		{"upstream fails all", func(s *embedded.Cluster) { s.Upstreams[0].SetFault(standin.UpstreamFault{Fail: true}) }},
 		{"upstream hangs", func(s *embedded.Cluster) { s.Upstreams[0].SetFault(standin.UpstreamFault{Hang: true}) }},
-		{"upstream mute", func(s *embedded.Cluster) { s.Upstreams[0].SetFault(standin.UpstreamFault{Silent: true}) }},
+		{"upstream silent", func(s *embedded.Cluster) { s.Upstreams[0].SetFault(standin.UpstreamFault{Silent: true}) }},
 		{"upstream drains", func(s *embedded.Cluster) { s.Upstreams[0].Drain() }},
-		{"late heartbeats of an earlier incarnation", func(s *embedded.Cluster) {
+		{"late heartbeats of an earlier life", func(s *embedded.Cluster) {
 			for _, u := range s.Upstreams {
 				u.SendHeartbeatAs(0)
 			}
--- a/internal/standin/embedded/restart_test.go
+++ b/internal/standin/embedded/restart_test.go
@@ -15,9 +15,9 @@
 	"hillreel/platform/standin"
 )
 
-// The tests of this file guard against an agent that does not notice a restart of its upstream under the same id.
+// The tests of this file guard against an agent that does not notice a restart of its upstream under the same ID.
 //
-// The fault: an agent distinguished lives of its upstream by the id alone and continued with the state of the previous life. The new
+// The fault: an agent distinguished lives of its upstream by the ID alone and continued with the state of the previous life. The new
 // life numbers its heartbeats and its run ends from 1 again, so its heartbeats were dropped as outdated, and its ends were acknowledged
 // before it had listed them.
 //
@@ -51,7 +51,7 @@
 func TestUpstreamThatStartsAgainLeaves(t *testing.T) {
 	cluster := start(t, 1, 2)
 	c := newClient(t, cluster)
-	time.Sleep(3 * time.Second) // the first life sends more heartbeats than the second one will
+	time.Sleep(3 * time.Second) // the first life's heartbeats reach higher numbers than the second life's will
 	completeJobs(t, c, 4)
 	cluster.Upstreams[0].Restart(0)
 	time.Sleep(500 * time.Millisecond)
@@ -69,7 +69,7 @@
 }
 
 // TestUpstreamThatStartsAgainEndsRuns guards against tasks that are repeated although they completed at an upstream that had restarted
-// under the same id: each task must start exactly once.
+// under the same ID: each task must start exactly once.
 func TestUpstreamThatStartsAgainEndsRuns(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -121,8 +121,8 @@
 		name     string
 		omitBorn bool
 	}{
-		{"heartbeats contain the start time of the incarnation", false},
-		{"heartbeats contain no start time", true},
+		{"heartbeats contain the birth time of the life", false},
+		{"heartbeats contain no birth time", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
