--- a/internal/proof/schedule/crashes_test.go
+++ b/internal/proof/schedule/crashes_test.go
@@ -18,18 +18,18 @@
 
 // These tests guard against a task that crashes every upstream which runs it. Such a task took down the upstreams one
 // after the other, half a second apart, until none was left, and all other jobs of those seconds were refused or failed.
-// It was started three more times after three upstreams had crashed under it. Each time its run was lost with the
-// upstream. A lost run is no failure of its task, so only the caller's patience limited how often the task was placed
-// again. Tasks that were lost with it were placed again at the same moment, beside it. The proof of the cause was that at
-// each upstream it was the youngest run, by a few milliseconds, while the ages of the other runs differed.
+// It was started three more times after three upstreams had crashed during it. Each time its run was lost with the
+// upstream. A lost run is no failure of its task, so only the time that the caller waited limited how often the task was
+// placed again. Tasks that were lost with it were placed again at the same moment, beside it. The proof of the cause was
+// that at each upstream its run was the youngest, by a few milliseconds, while the ages of the other runs differed.
 
 // crashesFrom is the first seed of the worlds in which some tasks crash the upstreams that start them.
 const crashesFrom = 4_000_000_000
 
 const (
-	// Once crashThreshold upstreams have crashed under a task, it must be started fewer than tooManyStarts more times.
+	// Once crashThreshold upstreams have crashed during a task, it must be started fewer than tooManyStarts more times.
 	crashThreshold, tooManyStarts = 3, 3
-	// minCrashesToFail is how many upstreams must have crashed under a task before its job may be reported as failed.
+	// minCrashesToFail is how many upstreams must have crashed during a task before its job may be reported as failed.
 	minCrashesToFail = 2
 	// contactTime is how long after a disturbance of its VM an agent is exempt from the limit on starts (contact_ms).
 	contactTime = 3 * time.Second
@@ -39,7 +39,7 @@
 type crasher struct {
 	// after is the time from the start of a run to the crash.
 	after time.Duration
-	// crashed counts the upstreams that have crashed under the task, furtherStarts its starts after the first
+	// crashed counts the upstreams that have crashed during the task, furtherStarts its starts after the first
 	// crashThreshold crashes.
 	crashed, furtherStarts int
 }
@@ -132,7 +132,7 @@
 	})
 }
 
-// hasCrashedUpstreams reports whether enough upstreams have crashed under a task of the job to report the job as failed.
+// hasCrashedUpstreams reports whether enough upstreams have crashed during a task of the job to report the job as failed.
 func (s *submission) hasCrashedUpstreams() bool {
 	for _, t := range s.tasks {
 		if t.crasher != nil && t.crasher.crashed >= minCrashesToFail {
@@ -171,7 +171,7 @@
 
 // TestCrashingTasks guards against crashing tasks that are placed again and again, and against sound jobs that are
 // reported as failed after a crash. In random schedules some tasks crash the upstreams that start them, while upstreams
-// also crash for other causes. No such task may be started three more times after three upstreams have crashed under it,
+// also crash for other causes. No such task may be started three more times after three upstreams have crashed during it,
 // and no job may be reported as failed because a task of it happened to run at a crashed upstream.
 func TestCrashingTasks(t *testing.T) { searchExceptKnown(t, crashesFrom) }
 
@@ -199,8 +199,8 @@
 // unproven are the schedules, in order, in which nothing proves that a task crashes upstreams, so that a task is started
 // once too often or a job is wrongly reported as failed. Two of them, 4000003125 and 5000002286, are among the first 4,000
 // schedules of the two kinds. In 4000003125 the age of the run at a loss is known 250 ms too low, and other causes crash
-// two more upstreams under the task. In 4000301760 and 4000304616 all processes that know of the first crash, or of the
-// first two, end afterwards. In 4000215516 other causes crash three upstreams under the task, two of them while it runs
+// two more upstreams during the task. In 4000301760 and 4000304616 all processes that know of the first crash, or of the
+// first two, end afterwards. In 4000215516 other causes crash three upstreams during the task, two of them while it runs
 // alone. In 5000307620 two upstreams crash by themselves while a task runs alone, after a crash that a task did cause. The
 // other schedules are not traced.
 var unproven = []uint64{
@@ -230,7 +230,7 @@
 var calledFailed = []uint64{4088000822, 4133000668}
 
 // TestSoundJobCalledFailed guards against sound jobs that are reported as failed because other causes crash upstreams
-// under their tasks.
+// during their tasks.
 func TestSoundJobCalledFailed(t *testing.T) {
 	for _, s := range calledFailed {
 		t.Run(fmt.Sprintf("seed_%d", s), func(t *testing.T) {
@@ -267,7 +267,7 @@
 	return slices.Contains(unproven, seed) || slices.Contains(tracedCrashes, seed) || slices.Contains(startedAgainTooOften, seed) || slices.Contains(forgotten, seed)
 }
 
-// TestForgottenCrashes guards against tasks that are started once too often because crashes under them were forgotten.
+// TestForgottenCrashes guards against tasks that are started once too often because crashes during them were forgotten.
 func TestForgottenCrashes(t *testing.T) {
 	for _, s := range forgotten {
 		t.Run(fmt.Sprintf("seed_%d", s), func(t *testing.T) {
--- a/internal/proof/schedule/schedule_test.go
+++ b/internal/proof/schedule/schedule_test.go
@@ -40,8 +40,8 @@
 const (
 	// activePeriod is how long jobs arrive and faults begin.
 	activePeriod = 5 * time.Second
-	// settleTime is by when everything must have settled: the longest patience, three attempts with their pauses, and 12 s
-	// for orders that are carried out late.
+	// settleTime is by when everything must have settled: the longest time that a caller waits, three attempts with their
+	// pauses, and 12 s for orders that are carried out late.
 	settleTime = 30 * time.Second
 )
 
--- a/internal/proof/schedule/store_test.go
+++ b/internal/proof/schedule/store_test.go
@@ -71,7 +71,8 @@
 	inc ident.Incarnation
 }
 
-// call makes one call: do runs at the store, then receives whether the store answered and whether it refused the call.
+// call makes one call. It runs do at the store, and passes to then whether the store answered and whether it refused the
+// call.
 func (x storeIO) call(do func(), then func(answered, refused bool)) {
 	w, s := x.e.w, x.e.w.store
 	answered := false
--- a/internal/proof/schedule/upstream_test.go
+++ b/internal/proof/schedule/upstream_test.go
@@ -11,7 +11,7 @@
 	"hillreel/internal/core/job"
 )
 
-// need is what each task needs; capacity is the room of an upstream, which is enough for three tasks.
+// need is what each task needs; capacity is the total capacity of an upstream, which is enough for three tasks.
 var (
 	need     = job.Resources{CPU: 1000, Mem: 10}
 	capacity = job.Resources{CPU: 3000, Mem: 100}
@@ -74,7 +74,7 @@
 	slowdown float64
 	// failRate and hangRate are the probabilities that a run fails or hangs.
 	failRate, hangRate float64
-	// room is the room that the upstream reports, formerRooms are those it had.
+	// room is the total capacity that the upstream reports, formerRooms are its earlier capacities.
 	room        job.Resources
 	formerRooms []formerRoom
 	// cut is true while no call or answer reaches the upstream or leaves it. The upstream runs on.
--- a/internal/proof/schedule/vm_faults_test.go
+++ b/internal/proof/schedule/vm_faults_test.go
@@ -65,17 +65,17 @@
 	p.suspend(d)
 }
 
-// formerRoom is a room that an upstream had until a moment.
+// formerRoom is a total capacity that an upstream had until a moment.
 type formerRoom struct {
 	room  job.Resources
 	until time.Time
 }
 
-// shrunkBound is how long after an upstream's room has shrunk starts may still rely on the former room: contact_ms and one
-// heartbeat.
+// shrunkBound is how long after an upstream's capacity has shrunk starts may still rely on the former capacity: contact_ms
+// and one heartbeat.
 const shrunkBound = contactTime + heartbeatInterval
 
-// resize changes the upstream's room. Its next heartbeat reports the change.
+// resize changes the upstream's total capacity. Its next heartbeat reports the change.
 func (u *simUpstream) resize(room job.Resources) {
 	if room == u.room {
 		return
@@ -85,7 +85,7 @@
 	u.room = room
 }
 
-// allowedRoom returns the largest room that starts may rely on now.
+// allowedRoom returns the largest total capacity that starts may rely on now.
 func (u *simUpstream) allowedRoom() job.Resources {
 	room := u.room
 	for _, f := range u.formerRooms {
